--- a/kelptrail/membership/members.py
+++ b/kelptrail/membership/members.py
@@ -69,7 +69,10 @@
 
 
 class WorkerRegistry:
-    """All known workers: live and draining ones, and removed ones until `delete_removed` deletes them."""
+    """All known workers: live and draining ones, and removed ones until `delete_removed` deletes them.
+
+    `zones` contains the number of each zone by name, which becomes `Worker.zone`; the number of an unknown zone is 0.
+    """
 
     def __init__(self, zones: dict[str, int]) -> None:
         self._zones = zones
--- a/kelptrail/replication/activation_locator.py
+++ b/kelptrail/replication/activation_locator.py
@@ -37,8 +37,8 @@
         if self._lookups.join(target, on_result):
             return
         connected = self._context.peers.ms_since_received().keys()
-        # An unreachable dispatcher makes the lookup of an activation id inconclusive.  This is not needed for a key,
-        # which the dispatcher has only in a journal: the journal's replicas report it as a primary without a reply.
+        # An unreachable dispatcher may have the activation, so the lookup of an activation id is then inconclusive.  A
+        # key is only in journals: the replicas of its journal report the unreachable primary, whose reply is missing.
         unreachable = not target.startswith(KEY_TARGET_PREFIX) and any(
             member.name not in connected and member.name != self._context.name for member in self._members()
         )
@@ -84,7 +84,7 @@
         """Return whether the target may be in a journal for which a negative reply of this run is not conclusive.
 
         Such a journal is not recovered here yet, or this dispatcher was its last primary and has not acquired it again,
-        or it was released and no other primary has written to it here since.
+        or it was released and no primary has sent a message about it since.
         """
         journals, logs = self._journals.handles, self._context.replica.logs
         return any(
--- a/kelptrail/replication/driver.py
+++ b/kelptrail/replication/driver.py
@@ -164,7 +164,7 @@
     # For the gateway.
 
     def wall_ms(self) -> float:
-        """Return the time of day as of `ReplicationContext.wall_ms`, in ms."""
+        """Return the time of day in ms; see `ReplicationContext.wall_ms`."""
         return self._context.wall_ms()
 
     def activation_ids(self) -> set[str]:
@@ -239,7 +239,7 @@
         self._context.leases.keep_connected(names, CAPABILITY)
 
     def _rank(self, connected: Iterable[str]) -> tuple[str, ...]:
-        """Return the reachable candidates for the replicas of own journals, in the order of preference.
+        """Return the reachable candidates for replicas, in the order in which this dispatcher prefers them.
 
         The result is cached until the reachable members change.
         """
--- a/kelptrail/replication/journal_manager.py
+++ b/kelptrail/replication/journal_manager.py
@@ -110,7 +110,10 @@
             self.claim(journal_id)
 
     def on_replica_message(self, journal_id: str) -> None:
-        """Record a primary's message to the replica here: lookups then find the primary by the token of the replica."""
+        """Forget the reported primary and the release of a journal, because a primary has sent a message about it.
+
+        Lookups then find the primary by the token of the replica here.
+        """
         self.reported_primary.pop(journal_id, None)
         self.released.discard(journal_id)
 
@@ -137,11 +140,11 @@
         self._context.leases.release(LEASE_PREFIX + journal_id, successor)
 
     def schedule_create(self) -> None:
-        """Create a journal in place of a lost one after a growing pause."""
+        """Schedule a new journal in place of a lost one; see `CreationSchedule`."""
         self._creation.schedule(now_ms())
 
     def create_if_due(self, now: float) -> None:
-        """Create a journal if one is due, no journal is current and no own journal is claimed."""
+        """Create the scheduled journal once it is due, unless a journal is current or an own journal is claimed."""
         if not self.may_create or not self._creation.take_due(now):
             return
         if self.current is None and not any(
@@ -298,7 +301,10 @@
             self._context.replica.close(journal_id, logs[journal_id].token)
 
     def close(self, handle: PrimaryHandle) -> None:
-        """Close an empty journal: the first call starts to notify the replicas, one after that releases the lease."""
+        """Close an empty journal, in two steps.
+
+        The first call starts to notify the replicas; the first call after all of them are notified releases the lease.
+        """
         if not handle.primary.closing:
             handle.primary.close()
             return
--- a/kelptrail/replication/messages.py
+++ b/kelptrail/replication/messages.py
@@ -3,8 +3,8 @@
 A *journal* records deferred calls.  A run of a dispatcher creates it; later runs continue it, and other dispatchers may
 take it over.  It has one *primary* at a time, which holds the lease on the journal, and an *in-sync set*: all
 dispatchers that have every committed entry, including the primary.  The in-sync set is stored as a note with the lease.
-The next lease holder reads from it which disks are complete, so that even a replica that was removed from the set
-without being notified finds that its disk is not.
+The next lease holder reads from it which disks are complete.  Thus even a replica that was removed from the set without
+being notified finds that its disk is incomplete.
 
 Times are milliseconds.  No message carries a time of day; entries carry their age at the time of sending instead.
 """
@@ -260,6 +260,6 @@
     max_uncommitted_bytes: int = 64 << 20  # size of uncommitted entries from which new calls are rejected
     window_bytes: int = 256 << 10  # limit on sent and unacknowledged data per replica
     repair_bytes_per_ms: float = 20_000.0  # rate limit for the repair of one replica
-    max_entry_bytes: int = 256 << 10  # size limit of the entry of a result; an error text replaces a larger one
+    max_entry_bytes: int = 256 << 10  # size limit of a result's entry; an error text replaces a larger result
     verify_interval_ms: float = 1000.0  # time between two digest checks of one replica
     verify_buckets: int = 8  # buckets per digest check
--- a/kelptrail/replication/model.py
+++ b/kelptrail/replication/model.py
@@ -60,7 +60,7 @@
         # State of the lease at the acceptors.
         self.lease_token, self.in_sync, self.lease_holder = NO_TOKEN, InSyncSet("", {}), ""
         self.acknowledged: set[str] = set()
-        self.executed_at: dict[str, str] = {}
+        self.executed_at: dict[str, str] = {}  # name of the node that ran each call
         self.final_answers: dict[str, str] = {}
         self.takeovers = self.all_disks_lost = 0
 
@@ -174,7 +174,10 @@
     # Steps.
 
     def step(self, faults: bool = True) -> None:
-        """Make one step.  Raises `PropertyError`."""
+        """Advance the clock, run all nodes and deliver messages; inject faults if `faults` is true.
+
+        Raises `PropertyError`.
+        """
         self.now += self.rng.uniform(1, 60)
         node = self.nodes[self.rng.choice(sorted(self.nodes))]
         if faults:
--- a/kelptrail/replication/replica_placement.py
+++ b/kelptrail/replication/replica_placement.py
@@ -45,8 +45,8 @@
     max_load = max(count, ceil(count * MAX_LOAD_FACTOR))
     load: Counter[str] = Counter()
     replicas_of: dict[str, tuple[str, ...]] = {}
-    # The first primaries have the freest choice, so their order is by a hash (of the name alone): by name, the same
-    # names would always be favoured.
+    # The first primaries have the widest choice.  They are ordered by a hash of the name, because in alphabetical order
+    # names early in the alphabet would always be favoured.
     for primary in sorted(all_members, key=lambda m: _hash("", m.name)):
         ranked = sorted(
             (m for m in all_members if m is not primary), key=lambda m: _hash(primary.name, m.name), reverse=True
--- a/kelptrail/replication/stream_sender.py
+++ b/kelptrail/replication/stream_sender.py
@@ -69,7 +69,7 @@
         self.outbox.append((name, CloseStream(self._journal_id, self.token, self._last_stream_id)))
 
     def resend(self, now: float, stream: ReplicaStream) -> None:
-        """Send an unanswered `OpenStream`, or else the unacknowledged messages as far as the window allows, again."""
+        """Send an unanswered `OpenStream` again, or else the unacknowledged messages that the window allows."""
         stream.retry_at = now + self._settings.retry_ms
         if stream.state is StreamState.OPENING:
             self._send_open(stream)
