--- a/kelptrail/lease/acceptor.py
+++ b/kelptrail/lease/acceptor.py
@@ -303,7 +303,7 @@
 
 
 def _renewal_refusal(record: LeaseRecord, request: AcquireRequest) -> RefusalReason | None:
-    """Return why a request under the granted token must be refused, or None if it renews the lease."""
+    """Return why a request under the highest recorded token must be refused, or None if it renews the lease."""
     if record.released:
         return RefusalReason.RELEASED
     return None if request.length_ms == record.length_ms else RefusalReason.INVALID_LENGTH
--- a/kelptrail/lease/acceptor_recovery.py
+++ b/kelptrail/lease/acceptor_recovery.py
@@ -1,7 +1,7 @@
 """Recovery of an acceptor that does not vote yet: a wait, and queries of the state of the other acceptors.
 
-The wait ensures that every lease that the acceptor may have granted and no longer has a record of has expired.  Only
-replies to queries sent after the wait are used, because the others may have granted leases during the wait.
+The acceptor may have lost the records of leases that it granted; at the end of the wait, these leases have expired.
+Only replies to queries sent after the wait are used, because the others may have granted leases during the wait.
 """
 
 from __future__ import annotations
--- a/kelptrail/lease/client.py
+++ b/kelptrail/lease/client.py
@@ -45,7 +45,7 @@
 
 
 class KnownHolder(NamedTuple):
-    """Token of the holder of a task that an acceptor last reported, and the approximate expiry of its lease.
+    """Last reported holder of a task: the token and the approximate expiry of its lease.
 
     `expires_at` is in ms on this client's clock.
     """
@@ -259,7 +259,11 @@
             self._abandon_attempt(now, request)
 
     def _adopt_config(self, now: float, config_number: int, acceptors: tuple[str, ...]) -> None:
-        """Switch to a later acceptor set.  Grants of earlier requests and note acknowledgements so far are void."""
+        """Switch to a later acceptor set.
+
+        Grants of earlier requests and earlier note acknowledgements no longer count.  A held lease stays valid until it
+        expires.
+        """
         for request in self.requests.values():
             if request.state is RequestState.ACQUIRING:
                 self._abandon_attempt(now, request)
@@ -269,9 +273,9 @@
     def _abandon_attempt(self, now: float, request: LeaseRequest) -> None:
         """Abandon an attempt, release its grants and schedule the next attempt.
 
-        The next attempt starts one pause after the latest retry time in the refusals, or one pause from now if there is
-        none or the task is reserved for this client.  Without either, the pause grows with each failed attempt.  Jitter
-        spreads the attempts of different clients.
+        The next attempt starts one pause after the latest retry time in the refusals, or one pause from now if that
+        time has passed or the task is reserved for this client.  With neither a later retry time nor a reservation, the
+        pause grows with each failed attempt.  Jitter spreads the attempts of different clients.
         """
         self._send_release(request, tuple(sorted(request.contacted_acceptors)), "")
         is_reserved = now < request.reserved_until
--- a/kelptrail/lease/driver.py
+++ b/kelptrail/lease/driver.py
@@ -76,7 +76,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._running = self._stopped = False
         self._connected_acceptors = settings.acceptors
-        self._extra_peers: dict[str, set[str]] = {}
+        self._extra_peers: dict[str, set[str]] = {}  # peers to keep connected, by owner; see `keep_connected`
         self.message_count = 0
         self.step_hook: Callable[[str], None] = lambda step: None  # called at named steps; crash tests replace it
         peers.register(CAPABILITY, self._on_peer_message, *MESSAGE_TYPES)
@@ -169,7 +169,7 @@
     def keep_connected(self, names: set[str], owner: str) -> None:
         """Keep connections to the peers `names`, in addition to the acceptors.
 
-        `owner` identifies the part of the program that needs them; `names` replaces its earlier ones.
+        `owner` identifies the part of the program that needs them; `names` replaces this owner's previous names.
         """
         if self._extra_peers.get(owner) != names:
             self._extra_peers[owner] = names
--- a/kelptrail/lease/lease_request.py
+++ b/kelptrail/lease/lease_request.py
@@ -13,8 +13,8 @@
 class RequestState(Enum):
     """State of a lease request."""
 
-    WAITING = "waiting"  # The next attempt starts at `next_step_at`
-    ACQUIRING = "asking"  # The value is a fixed outer name
+    WAITING = "waiting"  # the next attempt starts at `next_step_at`
+    ACQUIRING = "asking"  # an attempt is in progress
     HOLDING = "holding"
 
 
@@ -53,7 +53,7 @@
     # Estimated time from which a retry can succeed, by acceptor that refused this attempt.
     refusals: dict[str, float] = field(default_factory=dict)
     only_first_contacted: bool = False  # True while the request was sent only to the first acceptor
-    # Consecutive failed attempts, outside a reservation, whose refusals gave no later retry time.  Sets the backoff.
+    # Number of consecutive failed attempts with neither a reservation nor a later retry time; determines the backoff.
     failed_attempts: int = 0
     reserved_until: float = float("-inf")  # end of a reservation for this client after a transfer
     inherited_note: LeaseNote = NO_NOTE  # latest note in the grants of this token, renewals included
--- a/kelptrail/lease/messages.py
+++ b/kelptrail/lease/messages.py
@@ -87,7 +87,7 @@
     OTHER_CONFIG = "set"  # the client uses another acceptor set
     INVALID_LENGTH = "length"  # not positive, longer than the longest lease, or a renewal with another length
     OLDER_TOKEN = "older"  # a later token is recorded, or the round is not above `round_floor`
-    RELEASED = "released"  # the lease that the client renews was released
+    RELEASED = "released"  # the lease under the token of the request was released
     HELD = "held"  # another client holds the lease
     RESERVED = "reserved"  # the task is reserved for the successor named by the last holder
     UNKNOWN = "unknown"  # decoded from a reason of another program version, never sent
--- a/kelptrail/lease/waiting_clients.py
+++ b/kelptrail/lease/waiting_clients.py
@@ -8,7 +8,8 @@
 class WaitingClients:
     """Queues of one acceptor, one per task: clients in the order of their first refusal, with their retry times.
 
-    Retry times are `spacing_ms` apart.  A client that has not retried `max_lease_ms` after its retry time is removed.
+    Retry times are `spacing_ms` apart.  A client that has not retried within `max_lease_ms` after its retry time is
+    removed.
     """
 
     def __init__(self, spacing_ms: float, max_lease_ms: float) -> None:
@@ -32,7 +33,7 @@
         return retry_at - now
 
     def remove(self, task: str, client: str) -> None:
-        """Remove a client that has acquired the task from its queue."""
+        """Remove a client from the queue of a task that it has acquired."""
         self._queues.get(task, {}).pop(client, None)
 
     def first(self, task: str) -> str:
--- a/kelptrail/peers/connection.py
+++ b/kelptrail/peers/connection.py
@@ -56,7 +56,7 @@
         return self._reader.unknown_messages
 
     def receive_data(self, now: float, data: bytes | memoryview) -> list[Any]:
-        """Return the messages that are complete with `data`.  Raises `ChannelError`.
+        """Return the messages that `data` completes.  Raises `ChannelError`.
 
         Hellos, heartbeats, and messages beyond the rate limit are left out.
         """
--- a/kelptrail/peers/driver.py
+++ b/kelptrail/peers/driver.py
@@ -45,9 +45,9 @@
         self._capabilities: dict[type, str] = {}
         self._decoder = decoder()
         self._connections: dict[PeerConnection, socket.socket] = {}
-        self._by_name: dict[str, PeerConnection] = {}
-        self._writing: set[PeerConnection] = set()
-        self._connectors: dict[str, asyncio.Task[None]] = {}
+        self._by_name: dict[str, PeerConnection] = {}  # connection on which messages to each peer are sent
+        self._writing: set[PeerConnection] = set()  # connections whose remaining output a task is sending
+        self._connectors: dict[str, asyncio.Task[None]] = {}  # by peer: task that keeps the connection
         self._tasks: set[asyncio.Task[None]] = set()
         self._listener = Listener(
             self._loop, self._on_accept, lambda sock, peer, retry_after_ms: sock.close(), log.warning
@@ -151,8 +151,8 @@
         """Connect to a peer whenever there is no connection.
 
         The process whose name sorts first connects at once.  The other one connects a little later, because the first
-        one may not need the connection and then does not connect.  While another connection to the peer exists, it is
-        only checked, at intervals of up to `MAX_BACKOFF_MS`.
+        one may not need the connection and then does not connect.  While another connection to the peer exists, this
+        method only checks at intervals of up to `MAX_BACKOFF_MS` whether that connection still exists.
         """
         backoff_ms = MIN_BACKOFF_MS
         if name < self.name:
--- a/kelptrail/peers/messages.py
+++ b/kelptrail/peers/messages.py
@@ -26,7 +26,8 @@
 class Hello(msgspec.Struct, frozen=True, tag="hello", array_like=True):
     """The sender's identity.
 
-    `latest_plan`: sent by an edge, the position in the order of plans of the latest plan that it has received.
+    `lineage`: name of the deployment, which must be the same at both ends.
+    `latest_plan`: `planner.plan.PlanOrder` of the latest plan that the sending edge has accepted or read from disk.
     `capabilities`: groups of messages that the sender supports (since version 2).
     """
 
@@ -81,7 +82,7 @@
         self.unknown_messages = 0  # number of skipped messages of unknown types
 
     def feed(self, data: bytes | memoryview) -> list[Any]:
-        """Return the messages that are complete with `data`.  Raises `ChannelError`."""
+        """Return the messages that `data` completes.  Raises `ChannelError`."""
         self._buffer += data
         messages: list[Any] = []
         while len(self._buffer) >= LENGTH_BYTES:
