--- a/kelptrail/codec/grpc.py
+++ b/kelptrail/codec/grpc.py
@@ -80,7 +80,10 @@
 
 
 def timeout_ms(text: str) -> float:
-    """Return a `grpc-timeout` header in ms: at most 8 digits and a unit.  Raises `TimeoutHeaderError`."""
+    """Return the time in ms of a `grpc-timeout` header, which has at most 8 digits and a unit.
+
+    Raises `TimeoutHeaderError`.
+    """
     number, unit = text[:-1], text[-1:]
     if not 0 < len(number) <= 8 or not number.isascii() or not number.isdigit() or unit not in UNITS_MS:
         raise TimeoutHeaderError(f"no grpc-timeout: {text[:20]!r}")
--- a/kelptrail/codec/http.py
+++ b/kelptrail/codec/http.py
@@ -61,7 +61,10 @@
 
 
 class CompletedRequests(NamedTuple):
-    """Complete requests in order, and the error, if any, after which the connection closes once they are answered."""
+    """Complete requests in order, and the error in the input after them, if any.
+
+    After an error the connection is closed once the requests and the error are answered.
+    """
 
     requests: list[Request]
     error: HttpError | None
@@ -87,7 +90,8 @@
     def _reset(self) -> None:
         self._target, self._body = b"", bytearray()
         self._headers: dict[str, str] = {}
-        # Bytes of the request's head: those that the parser reported, and those of input that held only part of a head.
+        # Two lower bounds of the size of the request's head: the bytes that the parser has reported, and the bytes of
+        # input that lay wholly within the head.
         self._parsed_head_bytes = self._raw_head_bytes = 0
         self._in_head = True
 
--- a/kelptrail/codec/lines.py
+++ b/kelptrail/codec/lines.py
@@ -130,7 +130,8 @@
 def encode_call(id_: str, class_: str, item: str, limit_ms: int, nonce: str, body: bytes) -> bytes:
     """Encode the command that runs a request.
 
-    `class_` and `item` name what to run, `limit_ms` is the remaining time, `nonce` the idempotency key (empty: none).
+    `class_` is the name of the request class, `item` the id of the function, `limit_ms` the remaining time and `nonce`
+    the idempotency key (empty: none).
     """
     nonce_text = f",nonce={nonce}" if nonce else ""
     return f"CALL {id_} cls={class_},item={item},limit={limit_ms}{nonce_text} {len(body)}\r\n".encode() + body + b"\r\n"
--- a/kelptrail/net/grpc_client.py
+++ b/kelptrail/net/grpc_client.py
@@ -1,7 +1,7 @@
 """gRPC calls over one HTTP/2 connection to an address, based on the h2 library; reconnects as needed.
 
 A call ends exactly once: with the status that the server sent, or without a status if it was cancelled, was reset,
-timed out or lost its connection.  `written` records whether the server may have read anything of it.
+timed out or lost its connection.  `written` records whether the server may have read anything of the call.
 """
 
 from __future__ import annotations
@@ -66,7 +66,7 @@
     ) -> None:
         self.unsent = encode_message(message)  # what flow control has not let through yet
         self.on_message, self.on_end, self.reader = on_message, on_end, MessageReader(max_message_bytes)
-        self.id = 0  # of the call's HTTP/2 stream; 0 until the call is sent
+        self.id = 0  # id of the call's HTTP/2 stream; 0 until the call is sent
         self.written = False
         self.timer: asyncio.TimerHandle | None = None
 
@@ -225,7 +225,7 @@
             self._h2.send_data(call.id, data, end_stream=not call.unsent)
 
     def cancel(self, call: GrpcCall) -> None:
-        """Reset a call's stream."""
+        """Reset a call's stream, or remove the call from the queue if it was not sent yet."""
         if self._calls.pop(call.id, None) is not None:
             with contextlib.suppress(ProtocolError):
                 self._h2.reset_stream(call.id, ErrorCodes.CANCEL)
--- a/kelptrail/net/grpc_stream.py
+++ b/kelptrail/net/grpc_stream.py
@@ -19,8 +19,9 @@
 class GrpcStream:
     """One call.
 
-    Callbacks are called by the event loop, not by methods of this class, except that `send` may call `on_client_gone`:
-    of this stream if it turns out to be closed, or of any stream that is reset to limit the server's unsent bytes.
+    The event loop calls the callbacks; the methods of this class do not, with one exception.  `send` may call the
+    `on_client_gone` of this stream, if the stream turns out to be closed, and that of any stream that the server resets
+    to limit its unsent bytes.
     """
 
     __slots__ = (
@@ -56,7 +57,7 @@
         self.headers_sent = self.awaits_writable = False
         self.ended = False  # a status was given, or the client has disconnected
         self.client_ended = False  # the client has closed its side of the stream
-        self.request_complete = False  # exempt from `read_ms`: the client has ended, or the handler says so
+        self.request_complete = False  # `read_ms` no longer applies: the client has ended, or the handler set this
         self.opened_at, self.blocked_since = now, None
         self.deadline: float | None = None
         self.on_message: Callable[[bytes], None] = ignore
@@ -78,7 +79,10 @@
 
     @property
     def can_write(self) -> bool:
-        """Whether more may be sent now.  If not, `on_writable` is called once a slow client has read enough."""
+        """Whether more may be sent now.
+
+        If not, `on_writable` is called once the unsent bytes are below half of `GrpcLimits.stream_bytes`.
+        """
         if self.unsent_bytes < self._connection.server.limits.stream_bytes:
             return True
         self.awaits_writable = True
--- a/kelptrail/net/http_client.py
+++ b/kelptrail/net/http_client.py
@@ -15,7 +15,7 @@
 
 
 class HttpClient:
-    """A persistent connection to one address.  Raises `OSError`, `TimeoutError` and `HttpError`."""
+    """A persistent connection to one address.  Its requests raise `OSError`, `TimeoutError` and `HttpError`."""
 
     def __init__(self, address: str, max_response_bytes: int = 1 << 26) -> None:
         host, _, port = address.rpartition(":")
--- a/kelptrail/net/listener.py
+++ b/kelptrail/net/listener.py
@@ -1,8 +1,9 @@
 """Accepts connections: listening sockets, a rate limit on new connections, and cheap rejections.
 
-`ConnectPace` decides and does no I/O; `Listener` holds the listening sockets.  It accepts in the loop's callback for a
-readable socket, not with `await sock_accept`.  If that call were cancelled after it had taken a client from the
-kernel's accept queue, as when the server gives up its address, the client would get a reset.
+`ConnectPace` decides which connections exceed the rate, and does no I/O.  `Listener` holds the listening sockets.  It
+accepts in the loop's callback for a readable socket, not with `await sock_accept`.  If that call were cancelled after
+it had taken a client from the kernel's accept queue, as when the server gives up its address, the client would get a
+reset.
 """
 
 from __future__ import annotations
@@ -115,7 +116,7 @@
     def add_socket(self, sock: socket.socket) -> None:
         """Accept the clients of a listening socket, which the listener closes later."""
         self._sockets[sock] = None
-        self._loop.add_reader(sock, self._ready, sock)
+        self._loop.add_reader(sock, self._on_readable, sock)
 
     def close(self, on_queued: Callable[[socket.socket, str], Any] | None = None) -> None:
         """Close all sockets.  `on_queued` receives each client in the accept queue, which otherwise would be reset."""
@@ -202,7 +203,7 @@
         if cause.errno == EMFILE:  # a system-wide shortage would not end if this process closed a connection
             self.on_descriptor_shortage()
 
-    def _ready(self, sock: socket.socket) -> None:
+    def _on_readable(self, sock: socket.socket) -> None:
         for _ in range(1 if self.accept_delay_ms else ACCEPT_BATCH):
             if sock not in self._sockets:
                 return
@@ -240,7 +241,7 @@
     def _resume_accepting(self, sock: socket.socket) -> None:
         if sock in self._sockets:
             self._sockets[sock] = None
-            self._loop.add_reader(sock, self._ready, sock)
+            self._loop.add_reader(sock, self._on_readable, sock)
 
 
 def _ignore() -> None:
--- a/kelptrail/net/pool.py
+++ b/kelptrail/net/pool.py
@@ -55,7 +55,7 @@
         self.data, self._on_done, self.tag = data, on_done, tag
         self.on_chunk = on_chunk  # receives the body of a streamed response as it arrives
         self._paused, self._resumed = False, None
-        self.reason = ""
+        self.reason = ""  # why the call was cancelled; empty if it was not
         self._written = self._started = False
         self._task: asyncio.Task[None] | None = None
 
@@ -180,7 +180,7 @@
             call._finish(outcome, response)
 
     async def _exchange(self, connection: _PooledConnection, call: Call) -> Response | None:
-        """Send a call's request and return its response, None if the server closed the connection too early."""
+        """Send a call's request and return the complete response, or None if the server closed the connection first."""
         await connection.transport.sendall(call.data)
         receive, feed, buffer = connection.transport.recv_into, connection.reader.feed, connection.buffer
         connection.reader.on_chunk = call.on_chunk
@@ -197,9 +197,9 @@
         return response
 
     async def _acquire(self) -> _PooledConnection | None:
-        """Return an open connection, None if none can be established.
+        """Return an open connection, or None if none can be established.
 
-        Raises `TimeoutError` where no connection becomes free within the connect timeout.
+        Raises `TimeoutError` if no connection becomes free within the connect timeout.
         """
         while True:
             while self._idle:
--- a/kelptrail/platform/client_server.py
+++ b/kelptrail/platform/client_server.py
@@ -88,7 +88,7 @@
         return int(sock.getsockname()[1])
 
     def close(self) -> None:
-        """Close the listener and the connections of all groups immediately."""
+        """Close the listener and all connections immediately."""
         self._listener.close()
         for client in [*self.connections.active, *self.connections.closing]:
             client.connection.close()
@@ -204,7 +204,7 @@
                 raise UnusableRequestError("an open request has the same id")
         except UnusableRequestError as cause:
             reason = RequestRefusal.UNUSABLE.value
-            # Invalid fields are a failure, not a refusal, which may be retried.  `txn` is the request's id.
+            # The answer is FAILED, because a client may retry a refused request.  `txn` is the request's id.
             self._log(log_events.REQUEST_FAILED, request=fields.get("txn"), reason=reason, cause=cause)
             client.connection.write(frames.encode_answer(stream, frames.FAILED))
             return
--- a/kelptrail/platform/config.py
+++ b/kelptrail/platform/config.py
@@ -34,7 +34,7 @@
     connect_ms: float  # timeout of a connect to a worker
     idle_ms: float  # idle time after which a worker closes a connection
     streams: int  # limit of open attempts, loads and probes on one connection to a worker
-    may_cancel: bool  # whether attempts may be cancelled
+    may_cancel: bool  # whether CANCEL may be sent to workers
     parallel_attempts: bool  # whether two attempts of a request may be in flight at once
 
 
--- a/kelptrail/platform/decision_executor.py
+++ b/kelptrail/platform/decision_executor.py
@@ -163,7 +163,7 @@
 
     def _start_attempt(self, now: float, attempt: Attempt) -> None:
         request, client_request = attempt.request, self.client_requests.get(attempt.request)
-        if client_request is None:  # answered or cancelled; not an error: an exception would stop the other decisions
+        if client_request is None:  # already answered or cancelled; an exception would stop the other decisions
             self._engine.on_attempt_finished(now, attempt, AttemptResult(AttemptStatus.NOT_SENT, True))
             return
         if attempt.latest_start < request.deadline:
@@ -245,7 +245,10 @@
     # Cancellation and timeouts.
 
     def expire_timeouts(self, now: float) -> None:
-        """Cancel the items whose due time in `timeouts` has passed, but of an open request only unsent attempts."""
+        """Cancel the items whose due time in `timeouts` has passed.
+
+        An attempt whose request is open is cancelled only if it is unsent.
+        """
         while (item := self.timeouts.pop_due(now)) is not None:
             if isinstance(item, LoadOrder):
                 self._expire_load(now, item)
--- a/kelptrail/platform/endpoint_updates.py
+++ b/kelptrail/platform/endpoint_updates.py
@@ -157,7 +157,7 @@
                 self._on_item_finished(item, AttemptStatus.NOT_SENT, None)
 
     def _started_at(self, now: float, record: EndpointRecord) -> float | None:
-        """Return the time at which a worker started, or None if the list does not give it.
+        """Return the time on the loop's clock at which a worker started, or None if the list does not give it.
 
         For one worker the same `record.started` always gives the same time, even if the wall clock is stepped in
         between.
--- a/kelptrail/platform/endpoint_watch.py
+++ b/kelptrail/platform/endpoint_watch.py
@@ -3,8 +3,8 @@
 The stream of the list's events is also called feed, and the request that starts it poll.  The list's service sends an
 event every second, an empty one if nothing changed, so silence is a fault.  As a failed connection cannot be
 distinguished from a slow service, another connection is opened beside the silent one, and the first one that delivers
-an event is kept.  If a connection that had delivered an event ends and no failure came before, the watch reconnects
-immediately, else with exponential backoff.
+an event is kept.  When the newest connection ends, the watch reconnects: immediately if that connection had delivered
+an event and either lasted for more than `MAX_BACKOFF_MS` or was the first to end, otherwise with exponential backoff.
 """
 
 from __future__ import annotations
@@ -122,9 +122,9 @@
         self.last_event_number = last_event_number
         self.last_event_at = loop.time()  # time of the last complete event
         self._has_fault = False  # whether a fault was logged since the last complete event
-        self._connections: list[WatchConnection] = []  # oldest first, but see `set_address`
-        # Ends of the newest connection since one that had delivered an event and lasted for more than MAX_BACKOFF_MS,
-        # which is counted, too.
+        self._connections: list[WatchConnection] = []  # oldest first; `set_address` may move one to the end
+        # How often the newest connection has ended.  The count restarts at 1 when a connection ends that had delivered
+        # an event and lasted for more than MAX_BACKOFF_MS.
         self._failures = 0
         self._silence_timeout_ms = SILENCE_TIMEOUT_MS
         self._timer: asyncio.TimerHandle | None = None
@@ -136,9 +136,9 @@
     def set_address(self, address: tuple[str, int]) -> None:
         """Watch the list at `address`: connect there at once unless a connection to it is open.
 
-        Other connections are kept until an event arrives from there.  If the address is unchanged, bring the next
-        connect forward, but to MAX_BACKOFF_MS after the previous one at the earliest, so that repeated reloads of the
-        configuration do not overload a slow service.
+        Other connections are kept until an event arrives from there.  If the address is unchanged and a connection is
+        open or being established, bring the next connect forward, but to MAX_BACKOFF_MS after the previous one at the
+        earliest, so that repeated reloads of the configuration do not overload a slow service.
         """
         if address == self._address:
             newest = self._newest
@@ -186,7 +186,10 @@
             self._set_timer(connection.last_progress_at + self._silence_timeout_ms / 1000)
 
     def on_closed(self, connection: WatchConnection) -> None:
-        """Remove a connection that ended or could not be established; replace the newest one to the current address."""
+        """Remove a connection that ended or could not be established.
+
+        If it was the newest one and its address is the current one, schedule the next connect.
+        """
         if connection not in self._connections:
             return
         was_newest = connection is self._newest
@@ -198,8 +201,7 @@
             return
         lasted = connection.event_count and (self._loop.time() - connection.created_at) * 1000 > MAX_BACKOFF_MS
         self._failures = 1 if lasted else self._failures + 1
-        # -1, so that the watch reconnects immediately, if this failure is the first and the connection had delivered an
-        # event.
+        # -1 means an immediate reconnect: after the first counted end, if the connection had delivered an event.
         doublings = self._failures - 1 - bool(connection.event_count)
         backoff_ms = BACKOFF_MS * 2 ** min(doublings, MAX_BACKOFF_DOUBLINGS) if doublings >= 0 else 0.0
         self._set_timer(self._loop.time() + min(MAX_BACKOFF_MS, backoff_ms) / 1000)
--- a/kelptrail/platform/service.py
+++ b/kelptrail/platform/service.py
@@ -36,7 +36,7 @@
 
 
 def log_unexpected_error(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """Log an unhandled exception; the loop's exception handler.
+    """Log an unhandled exception; installed as the loop's exception handler.
 
     The exception ends only the callback or task that raised it.
     """
--- a/kelptrail/platform/worker_connections.py
+++ b/kelptrail/platform/worker_connections.py
@@ -60,8 +60,8 @@
     def start_probe(self, probe: ReadinessProbe, on_write: Callable[[], None]) -> None:
         """Send a readiness probe; `on_write` is called before its first byte is sent.
 
-        A connection is opened only if no open one can take the probe: workers have few connections, and a probe does
-        not queue behind other items at the worker.
+        A connection is opened only if no open one can take the probe: the number of connections to a worker is limited,
+        and a probe does not queue behind other items at the worker.
         """
         self._probe_count += 1
         id_ = f"q{self._probe_count}"
--- a/tests/test_attempt_races.py
+++ b/tests/test_attempt_races.py
@@ -86,7 +86,7 @@
         await asyncio.sleep(0.05)
         worker_sockets[0].setblocking(False)
         assert worker_sockets[0].recv(1000).startswith(b"CALL")
-        second.send("c" * 16, 10)  # its connection will be flushed at the end of this iteration
+        second.send("c" * 16, 10)  # schedules the flush of the second connection before that of the CANCEL
         assert first.connections.cancel(item) is True
         second.send("a" * 16, 10)
         assert worker_sockets[0].recv(1000) == b"CANCEL " + b"a" * 16 + b"\r\n", "the CANCEL was not sent immediately"
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -105,7 +105,8 @@
             clients = [connect_raw(platform.port) for _ in range(server.connections._max_connections + 4)]
             for n, sock in enumerate(clients):
                 sock.sendall(request(n + 1))
-            loop.add_reader(listening, server._listener._ready, listening)  # accepts all in one iteration of the loop
+            # Accepts all clients in one iteration of the loop.
+            loop.add_reader(listening, server._listener._on_readable, listening)
             answered = [await asyncio.to_thread(lambda sock=sock: answers(read_some(sock))) for sock in clients]
             assert [list(codes) for codes in answered] == [[n + 1] for n in range(len(clients))], (
                 "each request is answered"
--- a/tests/test_platform_load.py
+++ b/tests/test_platform_load.py
@@ -76,7 +76,7 @@
 
     def __init__(self, client: Client, base: int) -> None:
         self.client, self.base, self.sent, self.answers = client, base, dict[int, tuple[float, float, str]](), {}
-        self.accepts_more = True  # False once the dispatcher has sent GOAWAY: it accepts no more requests here
+        self.accepts_more = True  # False once the dispatcher has sent GOAWAY: the test sends no more requests here
         self.received: dict[int, list[tuple[float, int, bytes]]] = collections.defaultdict(list)
         self._reader = asyncio.create_task(self._read())
 
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -173,7 +173,7 @@
 
 
 class ProcessReadingPipe:
-    """A process whose configuration is a pipe: it blocks while reading it, before the event loop handles signals."""
+    """A process whose configuration file is a pipe: the read blocks before the event loop handles signals."""
 
     def __init__(self, tmp_path: Path) -> None:
         self._pipe = tmp_path / "pipe.json"
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -376,7 +376,7 @@
             loop.remove_reader(listening)
             failing = Failing(listening, "accept", [code] * 3)
             server._listener._sockets = {failing: None}  # type: ignore[dict-item]
-            loop.add_reader(listening, server._listener._ready, failing)
+            loop.add_reader(listening, server._listener._on_readable, failing)
             late = await platform.client()
             late.send_request(2)
             assert await late.answer_code() == frames.SERVED
--- a/tests/test_worker_list.py
+++ b/tests/test_worker_list.py
@@ -97,7 +97,7 @@
 
 def test_connection_too_slow_for_one_event_gets_more_time(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(endpoint_watch, "SILENCE_TIMEOUT_MS", 100.0)
-    monkeypatch.setattr(endpoint_watch, "BACKOFF_MS", 5.0)  # during a backoff the previous connection is still read
+    monkeypatch.setattr(endpoint_watch, "BACKOFF_MS", 5.0)  # short, so that no backoff delays the test
     monkeypatch.setattr(endpoint_watch, "MAX_BACKOFF_MS", 10.0)
 
     async def main() -> None:
