--- a/kelptrail/settings/cooperation.py
+++ b/kelptrail/settings/cooperation.py
@@ -17,12 +17,12 @@
 class PlannerConfig:
     """The planner.
 
-    - `embedded`: each dispatcher runs a planner in its process.
+    - `embedded`: whether each dispatcher runs a planner in its process.
     - `interval_ms`: time between two plans.
     - `valid_ms`: time for which a plan is valid after it was made.
     - `scale_down_ms`: time for which demand must stay below a function's planned instances before they are reduced.
-    - `new_instances_share`, `new_instances_min`: a plan has at most this share of the calls expected in the next minute
-      as new instances, or `new_instances_min` of them if that is more.
+    - `new_instances_share`, `new_instances_min`: limit on the new instances in a plan, as a share of the calls expected
+      in the next minute; the limit is at least `new_instances_min`.
     """
 
     embedded: bool = field(metadata={"key": "within"})
@@ -37,8 +37,8 @@
 class PeerConfig:
     """A dispatcher that is listed in the settings.
 
-    `at`: address of its peer channel; if it is empty, that of the endpoint list is used.  `zone`: its failure zone; one
-    in the endpoint list replaces it.
+    `at`: address of its peer channel; if it is empty, the address in the endpoint list is used.  `zone`: its failure
+    zone; a zone in the endpoint list takes precedence.
     """
 
     name: str
--- a/kelptrail/settings/cross_checks.py
+++ b/kelptrail/settings/cross_checks.py
@@ -85,7 +85,7 @@
 
 
 def _check_times(context: _Context, form: Form) -> None:
-    """Check that the timeout leaves time for an attempt, and lies between the target and the time of a stream."""
+    """Check that `timeout-ms` leaves time for an attempt and lies between `target-ms` and `stream-ms`."""
     checker = context.checker
     target, timeout, stream = (setting(form, key) for key in ("target-ms", "timeout-ms", "stream-ms"))
     if timeout is None:
@@ -158,9 +158,9 @@
     checker, replicas = context.checker, setting(form, "copies")
     if not replicas or not replicas.number:
         return
-    read = f"copies {replicas.text}"
+    found = f"copies {replicas.text}"
     if not context.has("leases"):
-        checker.fault(replicas.position, read, "(leases ...) beside it: the primary of a journal holds a lease")
+        checker.fault(replicas.position, found, "(leases ...) beside it: the primary of a journal holds a lease")
     body, channel = setting(form, "copies-kb"), setting(form, "most-kb")
     body_kb = body.number if body else default_of(PEERS, "copies-kb")
     channel_kb = channel.number if channel else default_of(PEERS, "most-kb")
@@ -169,7 +169,7 @@
         checker.fault(position, f"copies-kb {body.text if body else f'{body_kb:g}'}", "a fourth of most-kb at most")
     journal_settings = [setting(journal, "keep") for journal in child_forms(context.deployment, "journal")]
     if any(enabled and enabled.text == "no" for enabled in journal_settings):
-        checker.fault(replicas.position, read, "(journal (keep yes)): replication needs a journal")
+        checker.fault(replicas.position, found, "(journal (keep yes)): replication needs a journal")
 
 
 def _check_leases(context: _Context, form: Form) -> None:
@@ -208,9 +208,9 @@
         return
     if not _UUID.fullmatch(uuid.text):
         context.checker.fault(uuid.position, uuid.text, "a UUID, as 8-4-4-4-12 hex digits")
-    known = context.uuids.get(uuid.text.lower())
-    if known is not None:
-        context.checker.fault(uuid.position, uuid.text, f"a UUID of its own; line {known.line} has it already")
+    earlier = context.uuids.get(uuid.text.lower())
+    if earlier is not None:
+        context.checker.fault(uuid.position, uuid.text, f"a UUID of its own; line {earlier.line} has it already")
     context.uuids[uuid.text.lower()] = uuid.position
 
 
--- a/kelptrail/settings/deployment.py
+++ b/kelptrail/settings/deployment.py
@@ -167,8 +167,8 @@
     return Deployment(
         fields["name"],
         fields["halls"],
-        {t.name: t for t in fields["type"]},
-        {n.name: n for n in fields["namespace"]},
+        {request_class.name: request_class for request_class in fields["type"]},
+        {namespace.name: namespace for namespace in fields["namespace"]},
         actions,
         fields["rules"],
         fields["dispatcher"],
@@ -179,7 +179,7 @@
         fields["store"],
         fields["vrrp"],
         fields["journal"],
-        {t.side: t for t in fields["tls"]},
+        {tls.side: tls for tls in fields["tls"]},
         fields["storm"],
         fields["planner"],
         fields["peers"],
@@ -189,7 +189,10 @@
 
 
 def _expand_count(action: ActionSettings) -> list[ActionSettings]:
-    """Return the N actions of `(count N)`, each with a model of its own: NAME if N is 1, else NAME-0 to NAME-(N-1)."""
+    """Return the N actions of `(count N)`; an action without a model gets its own name as the model.
+
+    If N is more than 1, each action has a model of its own: names and models end with -0 to -(N-1).
+    """
     if action.count == 1:
         return [replace(action, model=action.model or action.name)]
     return [
--- a/kelptrail/settings/dispatching.py
+++ b/kelptrail/settings/dispatching.py
@@ -14,7 +14,7 @@
 class RuleSettings:
     """Limits of the dispatch rules.
 
-    - `drain_grace_ms`: time after the start of draining in which attempts may still reach the worker.
+    - `drain_grace_ms`: time after the notification that a worker drains in which new work may still start there.
     - `overload_multiple`, `overload_window_ms`: a worker in slow start fails if it receives more work than this
       multiple of its capacity within this time.
     - `slow_start_share`: share of its capacity that a worker has at the beginning of slow start.
@@ -47,8 +47,9 @@
     - `keep_alive_ms`: time for which an idle instance stays loaded.
     - `max_records`, `max_records_mb`, `max_record_age_ms`: limits of the activation records with a final answer.
     - `max_in_flight`, `max_in_flight_mb`, `max_in_flight_per_namespace`: limits of the requests without a final answer.
-    - `retry_budget_share`: tokens that each completed attempt adds to the retry budget, which pays for later attempts.
-    - `retry_budget_capacity`: maximum number of these tokens.
+    - `retry_budget_share`: tokens that each completed attempt adds to the retry budget, which limits hedges and the
+      retries of overdue or lost attempts.
+    - `retry_budget_capacity`: maximum number of tokens in the retry budget.
     """
 
     zone: str = field(metadata={"key": "hall"})
--- a/kelptrail/settings/forms.py
+++ b/kelptrail/settings/forms.py
@@ -31,7 +31,7 @@
 
 
 def form_name(form: Form) -> str:
-    """Return NAME of `(head NAME ...)`, a string with its quotes; return an empty string if there is no name."""
+    """Return NAME of `(head NAME ...)`, or "" if there is no name.  A name in quotes is returned with its quotes."""
     return str(form.items[1]) if len(form.items) > 1 and not isinstance(form.items[1], Form) else ""
 
 
--- a/kelptrail/settings/fronts.py
+++ b/kelptrail/settings/fronts.py
@@ -85,7 +85,8 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsSettings:
-    """TLS of one side: `front` (server of both client APIs), `runners` (emulated workers) or `to-workers` (client).
+    """TLS of one side: `front` (servers of both client APIs), `runners` (servers of the emulated workers) or
+    `to-workers` (dispatchers as clients of their workers).
 
     `certificate`, `key` and `authority` (the CA certificates that verify the peers) are paths relative to the settings
     file's folder.  `client_certificates`: "none" (not requested), "asked" (requested) or "required".
--- a/kelptrail/settings/lease_checks.py
+++ b/kelptrail/settings/lease_checks.py
@@ -39,7 +39,10 @@
 
 
 def _check_change(checker: Checker, form: Form, previous: list[str], acceptors: list[str]) -> None:
-    """Check that each majority of the one set overlaps with each majority of the other."""
+    """Check that a change replaces at most one acceptor, or adds or removes two.
+
+    The acceptors that are in both sets then form a majority of each set.
+    """
     if not previous:
         return
     unchanged = len(set(acceptors) & set(previous))
@@ -70,7 +73,7 @@
 
 
 def _check_length(checker: Checker, form: Form) -> None:
-    """Check that the part of a lease that different clock rates leave usable is long enough to renew it."""
+    """Check that the usable part of a lease, which the clock rate bound shortens, is long enough to renew the lease."""
     length_ms, bound = _number(form, "length-ms"), _number(form, "clock-bound")
     usable_ms, min_ms = length_ms * (1 - bound) / (1 + bound), _MIN_REQUESTS_PER_LEASE * _number(form, "ask-ms")
     if usable_ms < min_ms:
--- a/kelptrail/settings/shape.py
+++ b/kelptrail/settings/shape.py
@@ -125,7 +125,7 @@
 
 
 def _build(shape: Shape, values: dict[str, Any]) -> Any:
-    """Build the value of a form; `values` are by settings key, written with underscores."""
+    """Build the value of a form; the keys of `values` are settings keys, written with underscores."""
     if not dataclasses.is_dataclass(shape.build):
         return shape.build(**values)
     fields = fields_by_key(shape.build)
--- a/kelptrail/settings/vrrp.py
+++ b/kelptrail/settings/vrrp.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeySettings:
-    """A key shared by the peers; the first in the file signs advertisements, signatures of all keys are accepted."""
+    """A key shared by the peers.  The first key in the file signs advertisements; all keys verify them."""
 
     number: str  # 0 to 255
     secret: str
@@ -48,8 +48,8 @@
 class RouterConfig:
     """A virtual router: its front address and its members.
 
-    `interval_cs`: advertisement interval in centiseconds; `accept`: Accept_Mode (RFC 9568 section 6.1), only reported;
-    `grpc_port`: port of the inference API at the address, or 0 for none.
+    `interval_cs`: advertisement interval in centiseconds; `accept`: Accept_Mode (RFC 9568 section 6.1), which is in the
+    status and has no other effect; `grpc_port`: port of the inference API at the address, or 0 for none.
     """
 
     vrid: str
@@ -123,5 +123,5 @@
     },
     build=VrrpSettings,
 )
-# Permitted names of tracked objects: reaching workers, accepting connections, writing the journal.
+# Permitted names of tracked objects: the abilities to reach workers, accept connections and write the journal.
 TRACKED = ("workers", "front", "journal")
