--- a/kelptrail/front/activation_lookup.py
+++ b/kelptrail/front/activation_lookup.py
@@ -15,6 +15,6 @@
     def find(self, target: str, on_result: Callable[[str | None], None]) -> None:
         """Look up an activation id, or an idempotency key as `key:NAMESPACE/ACTION/KEY`.
 
-        `on_result` receives the address of the dispatcher that has the activation, "" if that is not known yet, or None
-        if no dispatcher has it.
+        `on_result` receives the address of the dispatcher that has the activation, None if no dispatcher has it, or ""
+        if it is not known yet whether one has it.
         """
--- a/kelptrail/front/authentication.py
+++ b/kelptrail/front/authentication.py
@@ -1,7 +1,7 @@
 """Authentication of clients: HTTP basic authentication (RFC 7617) with `uuid:key`, or a client certificate.
 
-Keys are compared as SHA-256 digests in constant time.  The settings may contain the digests only, and several per
-namespace, so that a new key can be introduced before the old one is removed.  Keys are long and random, so a plain
+Keys are compared as SHA-256 digests in constant time.  The settings of a namespace may contain digests instead of the
+key: up to two, so that a new key can be introduced before the old one is removed.  Keys are long and random, so a plain
 digest without salt or stretching is sufficient.
 """
 
@@ -14,7 +14,7 @@
 from kelptrail.certificates.names import certificate_names, key_digest
 from kelptrail.settings.deployment import Deployment, NamespaceSettings
 
-# Maximum number of valid `authorization` headers in the cache, whose keys are not compared again.
+# Maximum number of cached `authorization` headers.  Only valid headers are cached; their keys are not compared again.
 MAX_CACHED_HEADERS = 4096
 # Compared with the key of an unknown uuid, so that the check takes as long as for a known one.
 UNKNOWN_UUID_DIGEST = b"sha256:" + b"0" * 64
--- a/kelptrail/front/inference/api.py
+++ b/kelptrail/front/inference/api.py
@@ -139,6 +139,6 @@
         try:
             request = request_type.FromString(self._message)
         except DecodeError as cause:
-            # The message is not a valid one of this type.
+            # "no" means: not a valid message of this type.
             raise invalid(f"no {request_type.DESCRIPTOR.name}: {cause}") from None
         self._method.handler(self._stream, self._namespace, request)
--- a/kelptrail/front/inference/responses.py
+++ b/kelptrail/front/inference/responses.py
@@ -91,8 +91,8 @@
 ) -> pb.ModelStreamInferResponse:
     """Render the error that ends one request of a stream; the stream continues.
 
-    The status is in the error message and in the parameters of the response.  Among these, `activation` of the error's
-    details names the same activation as `activation_id`.
+    The status is in the error message and in the parameters of the response, which also contain the error's details.
+    The detail `activation`, if present, is the same id as the parameter `activation_id`.
     """
     response = pb.ModelInferResponse(model_name=model, id=request_id)
     parameters: dict[str, Scalar] = {"final_response": True, "status": error.code.name, "reason": error.reason}
--- a/kelptrail/front/inference/unary_inference.py
+++ b/kelptrail/front/inference/unary_inference.py
@@ -117,8 +117,8 @@
     def _find_at_other_dispatchers(self, stream: GrpcStream, id_: str) -> None:
         """Respond to a poll for an activation without a record here.
 
-        The response is an error, with the address of the dispatcher that has the activation if that is found.  Raises
-        `GrpcError`.
+        The response is always an error; it contains the address of the dispatcher that has the activation if that
+        dispatcher is found.  Raises `GrpcError`.
         """
         gateway, lookup = self._context.gateway, self._context.activation_lookup
         # A record that exists here belongs to another namespace.
--- a/kelptrail/front/invoke/invocations.py
+++ b/kelptrail/front/invoke/invocations.py
@@ -133,7 +133,7 @@
     def _look_up_key(self, call: InvocationRequest, key: str) -> bool:
         """Query the other dispatchers for the key; return False without replication, which the query needs.
 
-        A dispatcher that was lost since may have accepted a deferred request under this key.
+        Another dispatcher may have accepted a deferred request under this key, even one that has failed since then.
         """
         lookup = self._context.activation_lookup
         if lookup is None:
