--- a/kelptrail/cli/emulator.py
+++ b/kelptrail/cli/emulator.py
@@ -44,7 +44,7 @@
 @click.argument("file")
 @emulator_options
 def model_store(file: str, host: str, port: int, capture: Path | None, stop_at_stdin_end: bool) -> None:
-    """Run the model store, with the ledger that workers use to drop repeats."""
+    """Run the model store, which also stores the workers' effects for deduplication."""
     deployment = read_deployment(file)
     from kelptrail.emulator.capture import Capture
     from kelptrail.emulator.model_store import ModelStore
@@ -190,7 +190,7 @@
 # Folder for the capture.
 @click.option("--capture", type=click.Path(path_type=Path))
 def clients(script: str, start_ms: float, **values: Any) -> None:
-    """Run one process of a fault scenario's clients."""
+    """Run one process's share of a fault scenario's clients."""
     from kelptrail.clock import now_ms
     from kelptrail.emulator.capture import Capture
     from kelptrail.emulator.clients import ClientEmulator
--- a/kelptrail/cli/logs.py
+++ b/kelptrail/cli/logs.py
@@ -44,7 +44,7 @@
         return fields
 
 
-def _write_json(_logger: Any, _level: str, fields: MutableMapping[str, Any]) -> str:
+def _render_json(_logger: Any, _level: str, fields: MutableMapping[str, Any]) -> str:
     return msgspec.json.encode(fields, enc_hook=str).decode()
 
 
@@ -54,7 +54,7 @@
     `form`: "json", "text", or "auto" for text on a terminal and else JSON.
     """
     text = form == "text" or (form == "auto" and sys.stderr.isatty())
-    render: Any = structlog.dev.ConsoleRenderer() if text else _write_json
+    render: Any = structlog.dev.ConsoleRenderer() if text else _render_json
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
--- a/kelptrail/cli/scenarios.py
+++ b/kelptrail/cli/scenarios.py
@@ -54,9 +54,9 @@
 @click.option("--at-once", default=3, show_default=True, type=click.IntRange(1, 64))
 @output_folder_option
 def campaign(settings: Path, seeds: int, first: int, at_once: int, out: Path) -> None:
-    """Run random fault scenarios on real processes.  Exit 6 if any of them broke a rule.
+    """Run random fault scenarios on real processes.  Exit 1 if a run failed, otherwise 6 if any of them broke a rule.
 
-    They test replication if the settings enable it, and otherwise leases.
+    The scenarios test replication if the settings enable it, and otherwise leases.
     """
     from kelptrail.fault_scenario.campaign import run_campaign, summarize
 
@@ -104,7 +104,7 @@
 @click.option("--dispatchers", default=3, show_default=True)
 @output_folder_option
 def import_capture(tap: Path, name: str, scale: float, workers: int, dispatchers: int, out: Path) -> None:
-    """Create a deployment and a fault scenario from a capture of the bench."""
+    """Create a deployment and a fault scenario from TAP, a capture of the bench (`--tap FILE`)."""
     from kelptrail.fault_scenario.import_capture import import_capture as convert
 
     try:
--- a/kelptrail/cli/serving.py
+++ b/kelptrail/cli/serving.py
@@ -60,7 +60,7 @@
     click.option("--shared-port", is_flag=True, help="Let other dispatchers on this machine listen on the same port."),
     click.option("--crash-at", default="", hidden=True),
     click.option("--pause-at", default="", hidden=True),
-    click.option("--grpc-port", type=int, help="Port of the inference front; default: as in the settings."),
+    click.option("--grpc-port", type=int, help="Port of the inference API; default: as in the settings."),
     click.option("--harmed-disk", "faulty_disk", type=click.Path(path_type=Path), hidden=True),
     click.option("--control", help="Address and port for operators' requests, such as 127.0.0.1:0."),
     click.option("--peers", help="Address and port of its channel to other dispatchers; default: as in the settings."),
--- a/kelptrail/cli/simulation.py
+++ b/kelptrail/cli/simulation.py
@@ -136,7 +136,10 @@
     help="Folder with the second variant's runs, if another.",
 )
 def compare(folder: Path, first: str, second: str, other_folder: Path | None) -> None:
-    """Print for each figure whether the second variant is better, worse or not told apart from the first."""
+    """Print for each point and figure whether the second variant is better, worse or not told apart from the first.
+
+    They are not told apart if the 95 % confidence interval of their mean difference contains zero.
+    """
     from dataclasses import asdict
 
     from kelptrail.load.results import read_runs
