--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -149,11 +149,11 @@
         async with running_dispatcher(never_answer, on_load=reject_with(None)) as (dispatcher, _):
             calls = [asyncio.create_task(dispatcher.call("p/check", body={})) for _ in range(60)]
             answers = await asyncio.gather(*calls)
-            rejections = [(h, b) for status, h, b in answers if status == 429]
+            rejections = [(headers, body) for status, headers, body in answers if status == 429]
             assert rejections, [a[0] for a in answers]
-            timed = [h for h, b in rejections if b["retry_after_ms"]]
-            assert timed and all(int(h["retry-after"]) >= 1 for h in timed)
-            assert all(b["answer"] == "rejected" and b["code"] for _, b in rejections)
+            headers_with_delay = [headers for headers, body in rejections if body["retry_after_ms"]]
+            assert headers_with_delay and all(int(headers["retry-after"]) >= 1 for headers in headers_with_delay)
+            assert all(body["answer"] == "rejected" and body["code"] for _, body in rejections)
             assert (
                 dispatcher.gateway.counts.received
                 == 60
--- a/tests/test_front_addresses.py
+++ b/tests/test_front_addresses.py
@@ -168,7 +168,7 @@
         counts = members[1].vrrp.instance.counters
         sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sender.bind(("127.0.31.1", 0))
-        address_parts = deployment.vrrp.instance[1].udp.rpartition(":")  # of member b: host, ":", port
+        address_parts = deployment.vrrp.instance[1].udp.rpartition(":")  # host, ":" and port of instance b
         for data in (b"junk", b"x" * 60):
             sender.sendto(data, (address_parts[0], int(address_parts[2])))
         sender.setsockopt(socket.IPPROTO_IP, socket.IP_TTL, 4)  # no effect: authentication is checked first
@@ -268,7 +268,7 @@
     report = json.loads((tmp_path / "report.json").read_text())
     # `broken`: a rule of the history checker was violated.
     assert report["taken_over"] == 2 and report["completed"] > 100 and not report["broken"]
-    # Requests that had their effect twice, got no final answer, or got two.
+    # No request had its effect twice, got no final answer, or got two.
     assert report["effects_twice"] == report["unanswered"] == report["finals_twice"] == 0
     assert (tmp_path / "masters.png").stat().st_size > 10_000
 
@@ -297,8 +297,8 @@
         await asyncio.sleep(0.2)  # The client reads GOAWAY
         # The old holder finishes the accepted call.  Once the client has read GOAWAY, its calls go to the new holder;
         # none fails.
-        after = [await client.infer("p/check", [tensor("INT8", [n])]) for n in range(3)]
-        assert [list(r.outputs[0].contents.int_contents) for r in after] == [[0], [1], [2]]
+        later_responses = [await client.infer("p/check", [tensor("INT8", [n])]) for n in range(3)]
+        assert [list(r.outputs[0].contents.int_contents) for r in later_responses] == [[0], [1], [2]]
         assert two.gateway.counts.received >= 1 and one.gateway.counts.received + two.gateway.counts.received == 4
         answer(*in_flight[0])
         assert list((await call).outputs[0].contents.int_contents) == [7]
--- a/tests/test_front_replies.py
+++ b/tests/test_front_replies.py
@@ -437,10 +437,10 @@
 
     async def main() -> None:
         async with running_dispatcher(answer) as (dispatcher, _):
-            old_version = encode_request(
+            http_1_0_request = encode_request(
                 "POST", f"{target}?blocking=true", "x", b"{}", authorization() | {"accept": "text/event-stream"}
             ).replace(b"HTTP/1.1", b"HTTP/1.0")
-            assert await send(dispatcher, old_version) == error(
+            assert await send(dispatcher, http_1_0_request) == error(
                 406, "HTTP/1.0 has no streamed answers.", 1, {"connection": "close"}
             )
             key = {"idempotency-key": "k"}
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -63,8 +63,8 @@
     process, ready = start("demo", "--quiet-logs")
     try:
         assert ready["ready"] and {a["effect"] for a in ready["actions"]} == {"repeatable", "deduplicated", "once-only"}
-        first = {a["effect"]: a for a in reversed(ready["actions"])}
-        for action in first.values():
+        first_by_effect = {action["effect"]: action for action in reversed(ready["actions"])}
+        for action in first_by_effect.values():
             path = f"{action['package']}/{action['name']}" if action["package"] else action["name"]
             status, record = request(ready, "POST", f"actions/{path}?blocking=true", {"family": 7})
             assert status == 200 and record["response"]["result"]["echo"] == {"family": 7}
