--- a/kelptrail/background/core.py
+++ b/kelptrail/background/core.py
@@ -32,8 +32,8 @@
 class SchedulerSettings:
     """Settings of the CPU budget.
 
-    `share`: share of real time that background jobs may use; `busy_share`: share of the budget that they may use while
-    requests are in flight; `max_budget_ms`: limit of accumulated unused CPU time.
+    `share`: share of real time that background jobs may use; `busy_share`: share of `max_budget_ms` that they may use
+    while requests are in flight; `max_budget_ms`: limit of accumulated unused CPU time.
     """
 
     share: float = 0.1
@@ -138,8 +138,9 @@
         for job in self.jobs.values():
             ready = max(job.due_at, job.not_before) - now
             if self._budget_ms <= min_budget_ms and ready < MAX_WAIT_MS:
-                # The job can run when the budget suffices or when it has waited for its maximum wait.  As `next_job`
-                # requires that these limits are exceeded and not only reached, 0.1 ms is added to each.
+                # The job can run when the budget suffices or, unless the overdraft has reached its limit, when the job
+                # has been due for its maximum wait.  As `next_job` requires that the budget and the wait exceed these
+                # limits and do not only reach them, 0.1 ms is added to each.
                 ready = min(
                     max(ready, (min_budget_ms - self._budget_ms + 0.1) / self._settings.share),
                     max(ready, job.due_at + job.max_wait_ms - now + 0.1),
--- a/kelptrail/certificates/authority.py
+++ b/kelptrail/certificates/authority.py
@@ -156,7 +156,7 @@
         now: datetime,
         replace: bool = False,
     ) -> IssuedCertificate:
-        """Issue a key and certificate for a name; alternative names are DNS names, URIs or addresses.
+        """Issue a key and certificate for a name; alternative names are DNS names, URIs or IP addresses.
 
         The certificate expires no later than the authority's own.  Raises `AuthorityError` if the name is invalid, if
         the name has a certificate already and `replace` is not set, if the certificate is for neither a server nor a
--- a/kelptrail/certificates/names.py
+++ b/kelptrail/certificates/names.py
@@ -14,7 +14,7 @@
 
 
 def certificate_names(der: bytes) -> list[str]:
-    """Return the names in a DER certificate: the common name, then DNS names, URIs and addresses."""
+    """Return the names in a DER certificate: the common name, then the alternative names that differ from it."""
     certificate = x509.load_der_x509_certificate(der)
     names = [str(attribute.value) for attribute in certificate.subject.get_attributes_for_oid(NameOID.COMMON_NAME)]
     try:
--- a/kelptrail/model_checking/explorer.py
+++ b/kelptrail/model_checking/explorer.py
@@ -16,7 +16,7 @@
 class State(Protocol):
     """A state of a model.  `trail`: names of the steps that lead to it.
 
-    States with equal keys are equivalent: the same steps and states follow on them.
+    States with equal keys are equivalent: the same steps can follow and lead to equivalent states.
     """
 
     trail: tuple[str, ...]
@@ -56,8 +56,8 @@
 def explore(initial: StateT, check: Callable[[StateT], None], depth: int, max_states: int) -> SearchResult:
     """Search breadth first up to `depth` steps or `max_states` states.
 
-    `check` raises `PropertyError` for a state that violates a property; it is raised again with the steps that lead to
-    the state.
+    `check` raises `PropertyError` for a state that violates a property; the error is raised again with the steps that
+    lead to the state.
     """
     result, seen = SearchResult(), {initial.key()}
     queue: deque[tuple[int, StateT]] = deque([(0, initial)])
@@ -83,10 +83,10 @@
 def random_walk(
     initial: StateT, check: Callable[[StateT], None], seed: int, length: int, fault_probability: float = 0.1
 ) -> SearchResult:
-    """Walk `length` random steps, which reaches depths beyond an exhaustive search.
+    """Take up to `length` random steps, to reach greater depths than an exhaustive search.
 
-    Each step is a fault with probability `fault_probability` if there is a choice.  Raises `PropertyError` with the
-    steps of the walk.
+    If both faults and other steps are possible, a fault is taken with probability `fault_probability`.  Raises
+    `PropertyError` with the steps of the walk.
     """
     rng, result, state = random.Random(seed), SearchResult(), initial
     for _ in range(length):
--- a/kelptrail/planner/channel.py
+++ b/kelptrail/planner/channel.py
@@ -1,8 +1,8 @@
 """Messages between edges and planners, and the protocol state of both ends; free of I/O.
 
-An edge reports at a bounded rate; counters that could not be sent are added to the next report.  A planner has one plan
-in flight to an edge at a time: a newer plan replaces the one not sent yet, so a slow edge costs the memory of one plan.
-Heartbeats in both directions detect a dead connection; those of the leading planner tell the edge that it still leads.
+An edge reports at a bounded rate; counters that could not be sent are added to the next report.  A planner has at most
+one plan in flight to an edge, and a newer plan replaces one not sent yet, so at most one plan waits for a slow edge.
+Heartbeats in both directions detect a dead connection; those of a planner also say whether it leads.
 """
 
 from __future__ import annotations
--- a/kelptrail/planner/core.py
+++ b/kelptrail/planner/core.py
@@ -1,10 +1,10 @@
 """Planner core: makes plans from the usage that edges report; free of I/O, clocks and randomness.
 
-Endpoint lists, usage reports, and connecting and disconnecting edges arrive as events; the driver requests the next
-problem to solve and the plans to send.  Leadership is not decided here: a planner leads from the event that it acquired
-the lease to the event that it lost it, and receives reports all the time.  Every plan carries the lease's fencing
-token.  Edges refuse plans with an older token than that of the latest plan that they have accepted; a planner that
-receives a later token from an edge stops leading at once.
+The driver passes in endpoint lists, usage reports and disconnected edges, and requests the next problem to solve and
+the plans to send.  Leadership is not decided here: a planner leads from `on_lease_acquired` to `on_lease_lost`, and
+processes reports whether it leads or not.  Every plan carries the lease's fencing token.  Edges refuse plans with an
+older token than that of the latest plan that they have accepted; a planner that receives a later token from an edge
+stops leading at once.
 """
 
 from __future__ import annotations
@@ -108,7 +108,8 @@
 
     def __init__(self, name: str, settings: PlannerSettings, profiles: dict[str, FunctionProfile], now: float) -> None:
         self.name, self._settings, self._profiles = name, settings, profiles
-        self.role, self.epoch, self.owner, self._last_number = Role.STANDBY, 0, name, 0
+        self.role, self.epoch, self.owner = Role.STANDBY, 0, name
+        self._last_number = 0  # number of the latest problem or plan under the current token
         self.demand = Demand()
         self.workers: list[WorkerCapacity] = []
         self.endpoints_version = EndpointsVersion("", -1)
@@ -171,10 +172,10 @@
             self._edges_to_update.add(edge)
 
     def on_plan_refused(self, now: float, edge: str, reason: str, order: PlanOrder) -> None:
-        """Record that an edge refused a plan; the next plan that it receives is a complete one.
+        """Record that an edge refused a plan; the edge's channel then sends the next plan complete.
 
-        It is sent at once if the base of a difference was the reason.  If the plan's workers were the reason, the next
-        problem is due within `REPLAN_DELAY_MS`.
+        If the base of a difference was the reason, that plan is sent at once.  If the plan's workers were the reason,
+        the next problem is due within `REPLAN_DELAY_MS`.
         """
         self.counters.refusals[reason] = self.counters.refusals.get(reason, 0) + 1
         known_edge = self.edges.get(edge)
@@ -252,7 +253,10 @@
         return PlacementProblem(self._open_problem, self.workers, demands, budget, self.endpoints_version)
 
     def plans_to_send(self, now: float) -> list[tuple[str, Plan]]:
-        """Return the plans to send now by edge, each with only the functions that this edge recently requested."""
+        """Return the plans to send now with the names of their edges.
+
+        A plan has only the functions that its edge has recently requested.
+        """
         if self.role is not Role.LEADER or not self._edges_to_update or not self._last_number:
             return []
         names, self._edges_to_update = sorted(self._edges_to_update), set()
--- a/kelptrail/planner/demand.py
+++ b/kelptrail/planner/demand.py
@@ -9,7 +9,7 @@
 
 HOURS = 24
 WORK_SMOOTHING = 0.3  # weight of a new window in the moving average of the work per call
-HOURLY_SMOOTHING = 0.2  # weight of a new window in the usual rate of an hour, relative to that in the slow average
+HOURLY_SMOOTHING = 0.2  # weight of a window in the usual rate of an hour, relative to its weight in the slow average
 SLOW_RATE_SHARE = 0.7  # lower bound of the present rate, as a share of the slow average
 MAX_GROWTH = 2  # largest ratio of a forecast to the present rate
 IDLE_RATE = 1e-3  # calls per second below which a function counts as not requested; see `FunctionLoad.is_idle`
@@ -21,10 +21,10 @@
 
     fast_rate: float = 0.0  # calls per second, averaged over about 8 s
     slow_rate: float = 0.0  # calls per second, averaged over about 90 s
-    work_ms: float = 0.0  # average work per call
+    work_ms: float = 0.0  # average work per call: the time from start to answer of a completed attempt
     queue_depth: float = 0.0  # requests in the edges' queues, averaged over about 8 s
     not_loaded_rate: float = 0.0  # attempts per second whose worker had no instance, averaged over about 8 s
-    below_plan_since: float = 0.0  # time in ms when all planned instances were last needed, or were last reduced
+    below_plan_since: float = 0.0  # when all planned instances were last needed, or their number last reduced, in ms
     planned: int = 0  # instances in the latest plan
     window: dict[str, FunctionCounters] = field(default_factory=dict)  # counters of the open window, by edge
     hourly_rates: list[float] = field(default_factory=lambda: [0.0] * HOURS)  # usual calls per second by hour
--- a/kelptrail/planner/driver.py
+++ b/kelptrail/planner/driver.py
@@ -39,6 +39,7 @@
 class PlannerOptions:
     """Options of one planner process.
 
+    `endpoint_service`: address of the endpoint service; `control`: address of the control port, if it has one;
     `solver`: "program" or "greedy"; `solve_delay_ms`: delay added to each solution, for fault tests; `solve_timeout_s`:
     time after which a problem is abandoned and the previous plan stays in force.
     """
--- a/kelptrail/planner/placement.py
+++ b/kelptrail/planner/placement.py
@@ -1,9 +1,9 @@
 """Placements: how many instances of each function to load on which workers, with their constraints and cost.
 
 A valid placement uses at most `MEMORY_SHARE` of a worker's memory, only live workers, and no more new instances than
-the budget allows, none of them on a worker that is warming up.  The cost counts missing instances, new instances
-according to their load time, and overloaded workers.  `greedy_placement` always has a solution; that of
-`program_placement` is used where it costs less.
+the budget allows, none of them on a worker that is warming up.  The cost counts missing instances by
+their priority weight and load time, new instances by their load time, and overloaded workers.  `greedy_placement`
+always has a solution; that of `program_placement` is used where it costs less.
 """
 
 from __future__ import annotations
@@ -127,9 +127,9 @@
         cost_per_load = load_cost(demand)
         total += missing * MISSING_COST * demand.priority_weight * cost_per_load + new * cost_per_load
         if placed:
-            cores_each = busy_cores(demand) / max(placed, demand.instances_needed)
+            cores_per_instance = busy_cores(demand) / max(placed, demand.instances_needed)
             for worker, count in on_workers.items():
-                cores_in_use[worker] += count * cores_each
+                cores_in_use[worker] += count * cores_per_instance
     for capacity in workers:
         total += OVERLOAD_COST * max(0.0, cores_in_use[capacity.id] / capacity.cores - TARGET_UTILIZATION)
     return PlacementCost(total, all_missing, all_new)
--- a/kelptrail/planner/plan.py
+++ b/kelptrail/planner/plan.py
@@ -1,7 +1,8 @@
 """A plan: how many instances of which function to load on which workers, for a limited time; free of I/O.
 
 On the wire a plan is MessagePack compressed by Zstandard, either complete or as a difference from an earlier one.  Its
-digest covers its content, so that a truncated, altered or wrongly combined plan is never accepted.
+digest covers its complete content, so that a plan that was truncated, altered or combined with the wrong base is never
+accepted.
 """
 
 from __future__ import annotations
--- a/kelptrail/planner/plan_follower.py
+++ b/kelptrail/planner/plan_follower.py
@@ -4,9 +4,9 @@
 digest, is a difference from a plan that the edge does not have, or uses a worker that is not live in the edge's own
 endpoint list.  If only workers are missing, a plan made from a later list of the same source run waits for that list.
 
-Epochs fence: once a plan of a later epoch has been accepted, plans of earlier epochs are refused, even after a restart,
-because the last plan is stored on disk.  Without a plan, or with an expired one, an edge decides as it does without a
-planner.
+Epochs are fenced: once a plan of a later epoch has been accepted, plans of earlier epochs are refused, even after a
+restart, because the last plan is stored on disk.  Without a plan, or with an expired one, an edge decides as it does
+without a planner.
 """
 
 from __future__ import annotations
--- a/kelptrail/planner/program_placement.py
+++ b/kelptrail/planner/program_placement.py
@@ -127,7 +127,7 @@
         self._variable_count = 2 * self._pair_count + self._function_count + self._worker_count
         self._pair_functions = np.array([pair.function for pair in pairs])
         self._pair_workers = np.array([pair.worker for pair in pairs])
-        self._load_cost = np.array([load_cost(demand) for demand in requested])
+        self._load_costs = np.array([load_cost(demand) for demand in requested])
         self._needed = np.array([demand.instances_needed for demand in requested], dtype=float)
         self._instance_columns = np.arange(self._pair_count)
         self._new_columns = self._pair_count + self._instance_columns
@@ -162,21 +162,27 @@
         return np.concatenate(
             [
                 np.full(self._pair_count, INSTANCE_COST),
-                self._load_cost[self._pair_functions],
-                MISSING_COST * weights * self._load_cost,
+                self._load_costs[self._pair_functions],
+                MISSING_COST * weights * self._load_costs,
                 np.full(self._worker_count, OVERLOAD_COST),
             ]
         )
 
     def _upper_bounds(self) -> np.ndarray:
-        """Allow no new instances on workers that are warming up, and nowhere more than a function needs."""
+        """Return the upper bounds of the variables.
+
+        There are no new instances on workers that are warming up, and nowhere more instances than a function needs.
+        """
         warming_up = [self._workers[pair.worker].warming_up for pair in self._pairs]
         needed_by_pair = self._needed[self._pair_functions]
         max_new = np.where(warming_up, 0.0, needed_by_pair)
         return np.concatenate([needed_by_pair, max_new, self._needed, np.full(self._worker_count, np.inf)])
 
     def _integrality(self) -> np.ndarray:
-        """Require integers for the instances of each pair; the other variables follow from them."""
+        """Return 1 for each variable that must be an integer, else 0.
+
+        These are the instances of each pair; the other variables follow from them.
+        """
         return np.concatenate(
             [np.ones(self._pair_count), np.zeros(self._pair_count + self._function_count + self._worker_count)]
         )
@@ -219,10 +225,10 @@
 
     def _overload_constraint(self) -> optimize.LinearConstraint:
         """Count the utilization of a worker beyond `TARGET_UTILIZATION` as its overload."""
-        cores_each = np.array([busy_cores(demand) / demand.instances_needed for demand in self._requested])
+        cores_per_instance = np.array([busy_cores(demand) / demand.instances_needed for demand in self._requested])
         cores = np.array([worker.cores for worker in self._workers])
-        shares = cores_each[self._pair_functions] / cores[self._pair_workers]
-        used = self._rows(shares, self._pair_workers, self._instance_columns, self._worker_count)
+        utilization_per_instance = cores_per_instance[self._pair_functions] / cores[self._pair_workers]
+        used = self._rows(utilization_per_instance, self._pair_workers, self._instance_columns, self._worker_count)
         workers = np.arange(self._worker_count)
         overload = self._rows(np.ones(self._worker_count), workers, self._overload_columns, self._worker_count)
         return optimize.LinearConstraint(used - overload, -np.inf, np.full(self._worker_count, TARGET_UTILIZATION))
--- a/kelptrail/vrrp/address.py
+++ b/kelptrail/vrrp/address.py
@@ -18,7 +18,7 @@
 
 ADDRESS_MOVED = b'{"error":"This address has moved to another dispatcher; the call was not taken.","code":"moved"}'
 
-LISTEN_RETRY_S = 0.05  # interval between attempts to listen on an address that is in use
+LISTEN_RETRY_S = 0.05  # interval between attempts to listen while the address cannot be bound
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
 
 
 class FrontAddress:
-    """One address and its servers, which exist while the address is held."""
+    """One address and its servers, which listen while the address is held."""
 
     def __init__(self, host: str, port: int, service: FrontService, log: Any, grpc_port: int = 0) -> None:
         """`grpc_port` is the port of the gRPC front on the same address; 0 means that there is none."""
@@ -60,7 +60,7 @@
         return self._server
 
     def acquire(self) -> None:
-        """Listen on the address; retry while it is in use."""
+        """Listen on the address; retry until this succeeds or `release` is called."""
         if self._server is not None:
             return
         self._retry_timer = None
--- a/kelptrail/vrrp/driver.py
+++ b/kelptrail/vrrp/driver.py
@@ -1,8 +1,8 @@
 """Runs a VRRP instance over UDP on the event loop.
 
-Reads all waiting datagrams before a timer fires and sends with a TTL of 255.  Unicast to configured peers replaces
-multicast, and a UDP port replaces IP protocol 112 (RFC 9568 section 5.1).  The source address identifies the sender;
-the TTL of each datagram is checked (sections 5.1.1.3 and 5.1.2.3).
+Reads all waiting datagrams before timers fire, and sends its own with a TTL of 255.  Unicast to configured peers
+replaces multicast, and a UDP port replaces IP protocol 112 (RFC 9568 section 5.1).  The source address identifies the
+sender; the TTL of each datagram is checked (sections 5.1.1.3 and 5.1.2.3).
 """
 
 from __future__ import annotations
--- a/kelptrail/vrrp/instance.py
+++ b/kelptrail/vrrp/instance.py
@@ -3,7 +3,8 @@
 Combines packets, authentication, virtual routers and tracking.  The driver passes in datagrams with their sender and
 the health of tracked objects, calls `tick` at `next_due()`, and performs `outputs`: datagrams to send, addresses to
 acquire or release, state changes to log.  `counters` has the datagrams received, those dropped by reason, the
-advertisements sent, and those that were processed although their addresses or interval differ from the configured ones.
+advertisements sent, and those that were processed although their addresses or interval differ from the configured ones;
+the driver adds its socket errors and unsent datagrams.
 """
 
 from __future__ import annotations
--- a/kelptrail/vrrp/model.py
+++ b/kelptrail/vrrp/model.py
@@ -237,7 +237,8 @@
     """End all faults, run for `within_ms` and return the state reached.
 
     Paused processes resume, crashed ones stay down.  Raises `PropertyError` if a state on the way violates a property,
-    or unless exactly one Master remains, which must have the highest priority if the router of that priority preempts.
+    if routers run but not exactly one of them is Master in the end, or if the router of highest priority preempts but
+    the Master has a lower priority.
     """
     model = model.copy()
     for number, paused in enumerate(model.paused):
--- a/kelptrail/vrrp/packet.py
+++ b/kelptrail/vrrp/packet.py
@@ -1,6 +1,6 @@
 """Encoding and decoding of VRRP version 3 advertisements, free of I/O (RFC 9568 section 5).
 
-Each way in which a packet can be malformed has an error class of its own; packets dropped are counted by its name.
+Each way in which a packet can be malformed has an error class of its own; dropped packets are counted by its name.
 """
 
 from __future__ import annotations
--- a/kelptrail/vrrp/simulation.py
+++ b/kelptrail/vrrp/simulation.py
@@ -67,7 +67,7 @@
         tracks: list[TrackSettings] | None = None,
     ) -> None:
         self._random = random.Random(seed)
-        self._members, self._interval, self.preempt = members, interval_cs, preempt
+        self._members, self._interval_cs, self.preempt = members, interval_cs, preempt
         self._tracks = tracks or []
         self.faults, self.now = NetworkFaults(), 0.0
         self._epochs = dict.fromkeys((a for a, _ in members), 0)
@@ -88,7 +88,7 @@
         priority = dict(self._members)[address]
         self._epochs[address] += 1
         others = tuple(a for a, _ in self._members if a != address)
-        settings = RouterSettings(1, priority, (self._members[0][0],), self._interval, self.preempt)
+        settings = RouterSettings(1, priority, (self._members[0][0],), self._interval_cs, self.preempt)
         self.instances[address] = Instance(
             address,
             others,
