--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -87,7 +87,7 @@
         return edge
 
     async def make_calls(self, seconds: float) -> int:
-        """Make calls one after the other, each of which must be completed; returns their number.
+        """Make calls one after the other, each of which must be completed; return their number.
 
         The edge's reports are sent between the calls; in a dispatcher process, a background job sends them.
         """
@@ -158,14 +158,14 @@
         first = leaders[0]
         await first.stop()
         setup.planners.remove(first)
-        began = now_ms()
+        stopped_at = now_ms()
         core = setup.planners[0].planner
         await asyncio.gather(wait_until(lambda: core.role is Role.LEADER), setup.make_calls(2.0))
         # Wait for the first plan of the new leader.
         while setup.edge.plan_state.fence[:2] != (core.epoch, core.owner):
-            assert now_ms() - began < 6000, (setup.edge.plan_state.fence, core.epoch, core.owner)
+            assert now_ms() - stopped_at < 6000, (setup.edge.plan_state.fence, core.epoch, core.owner)
             await setup.make_calls(0.1)
-        assert now_ms() - began < 6000
+        assert now_ms() - stopped_at < 6000
         await setup.stop()
 
     run(main())
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -214,14 +214,16 @@
     create_authority(tmp_path)
 
     async def main() -> None:
-        gateway = TlsDispatcher(tmp_path)
-        responses = await post_over_tls(gateway.http.address, client_context(tmp_path), authorization(), 3)
+        dispatcher = TlsDispatcher(tmp_path)
+        responses = await post_over_tls(dispatcher.http.address, client_context(tmp_path), authorization(), 3)
         assert [r.status for r in responses] == [200] * 3 and responses[0].body == b'{"a":1}'
-        assert gateway.worker.server.connections == 1 and len(gateway.worker.attempts) == 3, "the connection is reused"
-        identified = await post_over_tls(gateway.http.address, client_context(tmp_path, "caller-one"), {})
+        assert dispatcher.worker.server.connections == 1 and len(dispatcher.worker.attempts) == 3, (
+            "the connection is reused"
+        )
+        identified = await post_over_tls(dispatcher.http.address, client_context(tmp_path, "caller-one"), {})
         assert identified[0].status == 200, "the certificate names the namespace"
-        assert (await post_over_tls(gateway.http.address, client_context(tmp_path), {}))[0].status == 401
-        assert (await post_over_tls(gateway.http.address, client_context(tmp_path, "dispatcher"), {}))[
+        assert (await post_over_tls(dispatcher.http.address, client_context(tmp_path), {}))[0].status == 401
+        assert (await post_over_tls(dispatcher.http.address, client_context(tmp_path, "dispatcher"), {}))[
             0
         ].status == 401, "its certificate names no namespace"
         root = (tmp_path / "authority.pem").read_bytes()
@@ -231,7 +233,7 @@
             (grpc.ssl_channel_credentials(root, pem, pem), [], True),
             (grpc.ssl_channel_credentials(root), [], False),
         ):
-            channel = grpc.aio.secure_channel(gateway.grpc.address, credentials)
+            channel = grpc.aio.secure_channel(dispatcher.grpc.address, credentials)
             call = channel.unary_unary(
                 "/inference.GRPCInferenceService/ModelInfer",
                 lambda m: m.SerializeToString(),
@@ -254,16 +256,17 @@
         old_version.maximum_version = ssl.TLSVersion.TLSv1_2
         for tls in (foreign_certificate, old_version, client_context(other_folder)):
             with pytest.raises((ssl.SSLError, ConnectionError, OSError)):
-                await post_over_tls(gateway.http.address, tls, authorization())
+                await post_over_tls(dispatcher.http.address, tls, authorization())
         # A client that sends plain HTTP does not disturb the server.
-        host, _, port = gateway.http.address.rpartition(":")
+        host, _, port = dispatcher.http.address.rpartition(":")
         plain = socket.create_connection((host, int(port)))
         plain.sendall(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")
         await asyncio.sleep(0.2)
         plain.close()
-        assert sum(event == "handshake-failed" for event, _ in gateway.log.lines) >= 3
-        assert (await post_over_tls(gateway.http.address, client_context(tmp_path), authorization()))[0].status == 200
-        await gateway.stop()
+        assert sum(event == "handshake-failed" for event, _ in dispatcher.log.lines) >= 3
+        afterwards = await post_over_tls(dispatcher.http.address, client_context(tmp_path), authorization())
+        assert afterwards[0].status == 200
+        await dispatcher.stop()
 
     run(main())
 
@@ -274,16 +277,16 @@
     Authority.create(other_folder, "other", 30, NOW).issue("worker", ["127.0.0.1"], True, False, 20, NOW)
 
     async def main() -> None:
-        gateway = TlsDispatcher(tmp_path)
+        dispatcher = TlsDispatcher(tmp_path)
         files = TlsFiles(other_folder / "worker.pem")
-        gateway.worker.server._tls = CertificateReloader(
-            files, True, [], gateway.log, lambda: time.time() * 1000
+        dispatcher.worker.server._tls = CertificateReloader(
+            files, True, [], dispatcher.log, lambda: time.time() * 1000
         ).context
-        response = (await post_over_tls(gateway.http.address, client_context(tmp_path), authorization()))[0]
-        assert response.status == 429 and not gateway.worker.attempts, (
+        response = (await post_over_tls(dispatcher.http.address, client_context(tmp_path), authorization()))[0]
+        assert response.status == 429 and not dispatcher.worker.attempts, (
             "the worker counts as unreachable, so nothing ran"
         )
-        await gateway.stop()
+        await dispatcher.stop()
 
     run(main())
 
@@ -293,8 +296,8 @@
     authority = create_authority(tmp_path)
 
     async def main() -> None:
-        gateway = TlsDispatcher(tmp_path)
-        reloader = gateway.reloaders["front"]
+        dispatcher = TlsDispatcher(tmp_path)
+        reloader = dispatcher.reloaders["front"]
         assert reloader is not None
         first = reloader.status()
         stop_at = asyncio.get_running_loop().time() + 1.5
@@ -304,7 +307,7 @@
             while asyncio.get_running_loop().time() < stop_at:
                 statuses += [
                     r.status
-                    for r in await post_over_tls(gateway.http.address, client_context(tmp_path), authorization(), 5)
+                    for r in await post_over_tls(dispatcher.http.address, client_context(tmp_path), authorization(), 5)
                 ]
             return statuses
 
@@ -322,10 +325,10 @@
         statuses = [s for task in tasks for s in await task]
         assert len(statuses) > 50 and set(statuses) == {200}
         assert reloader.loads >= 6 and reloader.failures == 1 and reloader.status()["ends"] != first["ends"]
-        events = [event for event, _ in gateway.log.lines]
+        events = [event for event, _ in dispatcher.log.lines]
         assert "tls-reloaded" in events and "tls-unusable" in events
-        assert not any("PRIVATE" in str(line) for line in gateway.log.lines)
-        await gateway.stop()
+        assert not any("PRIVATE" in str(line) for line in dispatcher.log.lines)
+        await dispatcher.stop()
 
     run(main())
 
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -268,7 +268,7 @@
     )
 
 
-MODELS = {f"m{n}": FunctionProfile(500.0, 4, 1000.0, 2.0) for n in range(20)}
+PROFILES = {f"m{n}": FunctionProfile(500.0, 4, 1000.0, 2.0) for n in range(20)}
 SETTINGS = PlannerSettings("here", interval_ms=2000.0, scale_down_ms=20_000.0, edge_timeout_ms=1e9)
 WORKERS = [WorkerCapacity(f"w{n}", 8000.0, 8) for n in range(6)]
 
@@ -292,7 +292,7 @@
 
 
 def test_instances_scale_up_at_once_and_down_after_a_delay() -> None:
-    planner = Planner("p", SETTINGS, MODELS, 0.0)
+    planner = Planner("p", SETTINGS, PROFILES, 0.0)
     planner.on_endpoints(0.0, WORKERS, ENDPOINTS_VERSION)
     run_planner(planner, 0.0, 90)
     assert not planner.counters.plans, "no plan is made before the lease is acquired"
@@ -320,7 +320,7 @@
     must be that of the lease holder."""
     for seed in range(15):
         rng = random.Random(seed)
-        planners = {name: Planner(name, SETTINGS, MODELS, 0.0) for name in ("p", "q")}
+        planners = {name: Planner(name, SETTINGS, PROFILES, 0.0) for name in ("p", "q")}
         edges = {f"e{n}": PlanState("here") for n in range(4)}
         in_flight_plans: list[tuple[float, str, Plan]] = []
         # Time of the notification, planner, and epoch of the acquired lease; epoch 0: the lease is lost.
@@ -403,7 +403,7 @@
 
 def test_slow_edge_gets_only_the_latest_plan_and_reports_changes() -> None:
     planner_channel, plan_state, leader_contact = PlannerChannel("p", "here"), PlanState("here"), LeaderContact(0.0)
-    edge, reader = EdgeChannel("e", "here", plan_state, leader_contact, 0.0), FrameReader(MESSAGE_DECODER)
+    edge, edge_reader = EdgeChannel("e", "here", plan_state, leader_contact, 0.0), FrameReader(MESSAGE_DECODER)
     planner_reader = FrameReader(MESSAGE_DECODER)
     for message in planner_reader.feed(b"".join(edge.output)):
         planner_channel.on_message(message)
@@ -412,14 +412,14 @@
         planner_channel.offer_plan(plan_of(number, instances={"m": {f"w{number}": 1}}), 0.0)
         planner_channel.queue_next_plan(0.0)
     assert len(planner_channel.output) == 2, "only one plan is in flight, after the hello"
-    for message in reader.feed(b"".join(planner_channel.output)):
+    for message in edge_reader.feed(b"".join(planner_channel.output)):
         edge.on_message(1.0, message, LIVE, ENDPOINTS_VERSION)
     planner_channel.output.clear()
     for message in planner_reader.feed(b"".join(edge.output)):
         planner_channel.on_message(message)
     edge.output.clear()
     assert planner_channel.queue_next_plan(2.0) and not planner_channel.queue_next_plan(2.0)
-    for message in reader.feed(b"".join(planner_channel.output)):
+    for message in edge_reader.feed(b"".join(planner_channel.output)):
         assert edge.on_message(2.0, message, LIVE, ENDPOINTS_VERSION) is PlanResult.ACCEPTED
     assert plan_state.fence == (1, "p", 5) and plan_state.target(2.0) == {"m": {"w5": 1}}, (
         "the plans between the first and the last are skipped"
