--- a/kelptrail/certificates/authority.py
+++ b/kelptrail/certificates/authority.py
@@ -51,7 +51,7 @@
 
 
 def read_certificate(pem: bytes) -> x509.Certificate:
-    """Parse the first certificate in PEM data.  Raises `AuthorityError`."""
+    """Parse the first certificate in PEM data.  Raises `AuthorityError` if there is no valid one."""
     try:
         return x509.load_pem_x509_certificates(pem)[0]
     except (ValueError, IndexError) as cause:
--- a/kelptrail/planner/build.py
+++ b/kelptrail/planner/build.py
@@ -35,7 +35,8 @@
 def worker_capacities(deployment: Deployment, endpoints: EndpointList) -> list[WorkerCapacity]:
     """Return the capacities of the live workers of an endpoint list.
 
-    Memory and cores come from the settings; the cores are multiplied by the worker's size.
+    Memory and cores come from the settings; the cores are multiplied by the worker's size.  A worker counts
+    as warming up during its slow start.
     """
     fleet, warm_up_ms = deployment.fleet, deployment.rules.slow_start_ms
     return [
--- a/kelptrail/planner/channel.py
+++ b/kelptrail/planner/channel.py
@@ -201,7 +201,10 @@
         self._in_flight: Plan | None = None
 
     def on_message(self, message: Message) -> Message:
-        """Check, process and return a message from the edge; a report updates `loaded`.  Raises `ChannelError`."""
+        """Process and return a message from the edge; a report updates `loaded`.
+
+        Raises `ChannelError` for an invalid `Hello` or a message that only planners send.
+        """
         if isinstance(message, Hello):
             if message.lineage != self._lineage:
                 raise ChannelError(f"lineage {message.lineage!r} does not match {self._lineage!r}")
--- a/kelptrail/vrrp/packet.py
+++ b/kelptrail/vrrp/packet.py
@@ -25,31 +25,31 @@
 
 
 class TooShortError(PacketError):
-    """Fewer bytes than the header and the number of addresses it gives (section 7.1)."""
+    """The packet is too short for its header and the number of addresses that the header gives (section 7.1)."""
 
 
 class TooLongError(PacketError):
-    """More bytes than the header and the number of addresses it gives."""
+    """The packet is too long for the number of addresses that its header gives."""
 
 
 class VersionError(PacketError):
-    """Not version 3 (section 5.2.1)."""
+    """The version is not 3 (section 5.2.1)."""
 
 
 class TypeFieldError(PacketError):
-    """Not of type ADVERTISEMENT; unknown types are discarded (section 5.2.2)."""
+    """The type is not ADVERTISEMENT; packets of unknown types are discarded (section 5.2.2)."""
 
 
 class VridError(PacketError):
-    """A virtual router identifier outside 1 to 255 (section 5.2.3)."""
+    """The virtual router identifier is not in 1 to 255 (section 5.2.3)."""
 
 
 class CountError(PacketError):
-    """No address, where at least one is required, or more than 255 (section 5.2.5)."""
+    """The number of addresses is not in 1 to 255 (section 5.2.5)."""
 
 
 class IntervalError(PacketError):
-    """An advertisement interval of 0, or one that does not fit into 12 bits (section 5.2.7)."""
+    """The advertisement interval is 0 or does not fit into 12 bits (section 5.2.7)."""
 
 
 class ChecksumError(PacketError):
@@ -61,7 +61,7 @@
 
 
 class HopsError(PacketError):
-    """A TTL or hop limit other than 255, which shows that a router forwarded it (sections 5.1.1.3, 5.1.2.3)."""
+    """The TTL or hop limit is not 255: a router forwarded the packet (sections 5.1.1.3, 5.1.2.3)."""
 
 
 PACKET_ERRORS = (
--- a/kelptrail/vrrp/simulation.py
+++ b/kelptrail/vrrp/simulation.py
@@ -31,7 +31,7 @@
 
 
 class AddressMove(NamedTuple):
-    """An instance acquired or released the address; `at` in milliseconds."""
+    """An instance acquired or released the address; `at`: time in milliseconds."""
 
     at: float
     address: Address
@@ -51,7 +51,7 @@
 
     loss: float = 0.0  # share of datagrams lost
     duplication: float = 0.0  # share of datagrams duplicated
-    delay: tuple[float, float] = (0.1, 2.0)  # range in ms
+    delay: tuple[float, float] = (0.1, 2.0)  # range of delays in ms
     blocked_links: set[tuple[Address, Address]] = field(default_factory=set)  # pairs of sender and receiver
 
 
--- a/kelptrail/vrrp/state_machine.py
+++ b/kelptrail/vrrp/state_machine.py
@@ -16,7 +16,7 @@
 
 
 class PriorityError(ValueError):
-    """A priority outside 1 to 255."""
+    """The priority is not in 1 to 255."""
 
 
 class State(Enum):
@@ -62,7 +62,7 @@
     before: State
     after: State
     cause: str
-    at: float  # in ms
+    at: float  # time of the transition, in ms
 
 
 Output = SendAdvertisement | AcquireAddress | ReleaseAddress | StateChange
