--- a/kelptrail/planner/demand.py
+++ b/kelptrail/planner/demand.py
@@ -22,7 +22,7 @@
     fast_rate: float = 0.0  # calls per second, averaged over about 8 s
     slow_rate: float = 0.0  # calls per second, averaged over about 90 s
     work_ms: float = 0.0  # average work per call: the time from start to answer of a completed attempt
-    queue_depth: float = 0.0  # requests in the edges' queues, averaged over about 8 s
+    queue_depth: float = 0.0  # requests in the edges' queues, averaged over about 8 s; 0 in windows without a report
     not_loaded_rate: float = 0.0  # attempts per second whose worker had no instance, averaged over about 8 s
     below_plan_since: float = 0.0  # when all planned instances were last needed, or their number last reduced, in ms
     planned: int = 0  # instances in the latest plan
