--- a/kelptrail/certificates/authority.py
+++ b/kelptrail/certificates/authority.py
@@ -51,7 +51,7 @@
 
 
 def read_certificate(pem: bytes) -> x509.Certificate:
-    """Parse the first certificate in PEM data.  Raises `AuthorityError`."""
+    """Parse the first certificate in PEM data.  Raises `AuthorityError` if there is no valid one."""
     try:
         return x509.load_pem_x509_certificates(pem)[0]
     except (ValueError, IndexError) as cause:
@@ -156,7 +156,7 @@
         now: datetime,
         replace: bool = False,
     ) -> IssuedCertificate:
-        """Issue a key and certificate for a name; alternative names are DNS names, URIs or addresses.
+        """Issue a key and certificate for a name; alternative names are DNS names, URIs or IP addresses.
 
         The certificate expires no later than the authority's own.  Raises `AuthorityError` if the name is invalid, if
         the name has a certificate already and `replace` is not set, if the certificate is for neither a server nor a
--- a/kelptrail/planner/channel.py
+++ b/kelptrail/planner/channel.py
@@ -1,8 +1,8 @@
 """Messages between edges and planners, and the protocol state of both ends; free of I/O.
 
-An edge reports at a bounded rate; counters that could not be sent are added to the next report.  A planner has one plan
-in flight to an edge at a time: a newer plan replaces the one not sent yet, so a slow edge costs the memory of one plan.
-Heartbeats in both directions detect a dead connection; those of the leading planner tell the edge that it still leads.
+An edge reports at a bounded rate; counters that could not be sent are added to the next report.  A planner has at most
+one plan in flight to an edge, and a newer plan replaces one not sent yet, so at most one plan waits for a slow edge.
+Heartbeats in both directions detect a dead connection; those of a planner also say whether it leads.
 """
 
 from __future__ import annotations
@@ -201,7 +201,10 @@
         self._in_flight: Plan | None = None
 
     def on_message(self, message: Message) -> Message:
-        """Check, process and return a message from the edge; a report updates `loaded`.  Raises `ChannelError`."""
+        """Process and return a message from the edge; a report updates `loaded`.
+
+        Raises `ChannelError` for an invalid `Hello` or a message that only planners send.
+        """
         if isinstance(message, Hello):
             if message.lineage != self._lineage:
                 raise ChannelError(f"lineage {message.lineage!r} does not match {self._lineage!r}")
