--- a/kelptrail/emulator/client_calls.py
+++ b/kelptrail/emulator/client_calls.py
@@ -25,7 +25,7 @@
 
 from .capture import Capture, ReadLag
 
-# Reasons in gRPC errors that clients treat as "aborted"; they do not distinguish NEVER_RAN from MAY_HAVE_RUN.
+# Reasons in gRPC errors that clients treat as "aborted", without distinguishing NEVER_RAN from MAY_HAVE_RUN.
 ABORTED_REASONS = ("MAY_HAVE_RUN", "NEVER_RAN")
 
 
@@ -33,7 +33,7 @@
 class ClientCall:
     """A call of a client, and the state of its current attempt."""
 
-    ticket: str  # id of the call and input of the function; of a deduplicated one also the idempotency key
+    ticket: str  # id of the call and input of the function; also the idempotency key if the type is deduplicated
     action: ActionSettings
     type: TypeSettings
     namespace: NamespaceSettings
@@ -41,7 +41,7 @@
     behavior: ClientBehavior
     attempts_left: int
     dispatcher: int = 0
-    attempt_started: float = 0.0
+    attempt_started: float = 0.0  # time in ms
     activation: str = ""
     attempt_id: str = ""  # id of the current attempt, captured as "call"
     poll_address: str = ""
--- a/kelptrail/emulator/clients.py
+++ b/kelptrail/emulator/clients.py
@@ -121,7 +121,7 @@
     def plan(self, loads: list[Load], seconds: float) -> list[tuple[float, Callable[[], None]]]:
         """Return the start time in seconds of each call, and a function that starts the call, in order of time.
 
-        A load with a closed loop has none: only the load generator supports closed loops.
+        A load with a closed loop has none: only the load generator and the simulation support closed loops.
         """
         planned: list[tuple[float, Callable[[], None]]] = []
         for load in loads:
--- a/kelptrail/fault_scenario/dispatcher_faults.py
+++ b/kelptrail/fault_scenario/dispatcher_faults.py
@@ -93,8 +93,8 @@
     async def _pause(self, target: Process, duration_s: float, after_lease_check: bool) -> None:
         """Suspend the process, and resume it after `duration_s`.
 
-        With `after_lease_check`, the process suspends itself once it has next checked a lease and not yet used it
-        (SIGUSR1).  SIGUSR2 cancels that if it has not happened by the end of the pause.
+        With `after_lease_check`, SIGUSR1 makes the process suspend itself between its next check of a lease and the use
+        of the lease.  At the end of the pause, SIGUSR2 cancels this if it has not happened.
         """
         number = self._cluster.dispatchers.index(target)
         self._capture.write("stopped", dispatcher=number)
--- a/kelptrail/fault_scenario/inferred_faults.py
+++ b/kelptrail/fault_scenario/inferred_faults.py
@@ -155,7 +155,8 @@
 def _symptom(results: Counter[AttemptResult]) -> Symptom | None:
     """Return the symptom in a worker's results of one second, or None.
 
-    Symptoms are a large share of errors, in all classes or in one class only, and results without any answer.
+    Symptoms are results without any answer, and a large share of errors.  Errors of only one class out of several count
+    as a fault of that class.
     """
     total = sum(results.values())
     answered = sum(count for (ending, _), count in results.items() if ending in "SEFM")
@@ -177,12 +178,12 @@
 
     A miss is an attempt that found its model not loaded.  The misses of all workers count together.
     """
-    misses, answers = np.zeros(seconds + 1), np.ones(seconds + 1)
+    misses, totals = np.zeros(seconds + 1), np.ones(seconds + 1)
     for (_, second), results in captured.results.items():
         if second <= seconds:
             misses[second] += sum(count for (ending, _), count in results.items() if ending == "M")
-            answers[second] += sum(results.values())
-    share = misses / answers
+            totals[second] += sum(results.values())
+    share = misses / totals
     median = float(np.median(share))
     found = []
     second = 3
@@ -196,7 +197,7 @@
 
 
 def _slow_store(captured: CapturedRun, seconds: int) -> list[FaultInterval]:
-    """Infer a slow model store from loads that are slow at all workers."""
+    """Infer a slow model store from seconds in which the median load time over all workers is long."""
     if not captured.loads:
         return []
     times = np.array([load.at for load in captured.loads])
--- a/kelptrail/fault_scenario/scenario.py
+++ b/kelptrail/fault_scenario/scenario.py
@@ -119,7 +119,7 @@
 KINDS = tuple(FaultKind)
 # Key in a scenario file -> field of `Fault`, where they differ.
 FIELD_OF_FAULT_KEY = {"for": "duration", "hall": "zone"}
-# `runner.py` also checks that they are in more than one zone.
+# `runner.py` also checks that the deployment has more than one zone.
 MIN_DISPATCHERS_FOR_PEER_FAULTS = 5
 
 
--- a/kelptrail/load/client_behavior.py
+++ b/kelptrail/load/client_behavior.py
@@ -35,7 +35,7 @@
     """Retry behaviour of one client."""
 
     retry_after_share: float = 1.0  # share of a retry-after time that the client waits
-    # Range of the random factor on a delay; some clients leave it out after NOT_TAKEN.
+    # Range of the random factor on a delay; after NOT_TAKEN, only the load generator applies it.
     jitter: tuple[float, float] = (1.0, 1.2)
 
 
--- a/kelptrail/load/load_settings.py
+++ b/kelptrail/load/load_settings.py
@@ -19,10 +19,10 @@
     deferred: float  # share of calls that are deferred (non-blocking)
     zipf: float  # exponent of the Zipf distribution of actions
     retries: int
-    retry_after_share: float = field(metadata={"key": "heed"})  # share of clients that honour a retry-after time
+    retry_after_share: float = field(metadata={"key": "heed"})  # share of clients that wait all of a retry-after time
     half_retry_after_share: float = field(
         metadata={"key": "half_heed"}
-    )  # share of clients that wait half of it; the others retry at once
+    )  # share of clients that wait half of it; the others ignore it
     one_off: bool  # read from scenario files, but not used
     action: str  # empty: all actions, weighted by popularity
     grpc: float  # share of calls that are sent over gRPC
--- a/kelptrail/simulation/attempt_executor.py
+++ b/kelptrail/simulation/attempt_executor.py
@@ -139,7 +139,7 @@
         self.start_queued()
 
     def _is_repeat(self, attempt: QueuedAttempt) -> bool:
-        """Return whether this deduplicated effect occurred in its scope within the window; record it if not."""
+        """Return whether a deduplicated effect repeats one of its scope within the window; record it if not."""
         type_, worker = attempt.model.type, self._worker
         if type_.effect != "deduplicated":
             return False
--- a/kelptrail/simulation/dispatchers.py
+++ b/kelptrail/simulation/dispatchers.py
@@ -66,6 +66,7 @@
         self.journal = GroupCommit(deployment.journal.max_pending_entries) if deployment.journal.enabled else None
         parts = DispatcherParts(deployment, self._zone, zlib.crc32(self.boot.encode()))
         self.gateway = Gateway(parts, self.boot, self.journal)
+        # The time to write an answer; `GatewayDriver` measures it, the simulation assumes it.
         self.gateway.state.answer_ms = 2 * self._settings.cpu_ms
         self._busy_until, self._timer, self._timer_at, self._running_effects = 0.0, None, float("inf"), False
         self._open_orders: dict[LoadOrder, Timer] = {}
--- a/kelptrail/simulation/faults.py
+++ b/kelptrail/simulation/faults.py
@@ -122,9 +122,9 @@
                         self._event_queue.after(fault.duration * 1000, self._record_resumed, dispatcher)
         if self._cluster.leases is not None:
             names = [dispatcher.name for dispatcher in targets]
-            self._cluster.leases.inject(fault, names, self._draw_direction)
+            self._cluster.leases.inject(fault, names, self._draw_is_outgoing)
 
-    def _draw_direction(self) -> bool:
+    def _draw_is_outgoing(self) -> bool:
         """Return whether a one-way cut stops the messages that a node sends; otherwise it stops those it receives."""
         return bool(self._random.random() < 0.5)
 
@@ -151,7 +151,7 @@
             elif fault.kind in LEASE_FAULT_OF_PLANNER_FAULT:
                 assert self._cluster.leases is not None
                 lease_fault = replace(fault, kind=LEASE_FAULT_OF_PLANNER_FAULT[fault.kind])
-                self._cluster.leases.inject(lease_fault, [planner.name], self._draw_direction)
+                self._cluster.leases.inject(lease_fault, [planner.name], self._draw_is_outgoing)
             else:
                 planner.kill()
                 self._event_queue.after(
@@ -207,7 +207,7 @@
         self._cluster.publish_endpoints()
 
     def _deploy(self, worker: SimulatedWorker | RemoteWorker, restart: bool) -> None:
-        """Drain the worker, stop it after the drain times, and start it again if `restart` is set."""
+        """Drain the worker, stop it after drain grace and drain timeout, and start it again if `restart` is set."""
         if not worker.up:
             return
         worker.state = "draining"
--- a/kelptrail/simulation/leases.py
+++ b/kelptrail/simulation/leases.py
@@ -323,7 +323,7 @@
             node.sync_ms, node.disk_fails = sync_ms, fails
 
     def status(self) -> dict[str, Any]:
-        """Return the number of messages that each node received, and of lease uses; the keys are part of the report."""
+        """Return the number of messages that each node received, and the number of lease uses."""
         return {
             "told": {name: node.messages_received for name, node in self.nodes.items()},
             "acts": sum(node.lease_uses for node in self.nodes.values()),
--- a/kelptrail/simulation/remote.py
+++ b/kelptrail/simulation/remote.py
@@ -100,7 +100,7 @@
 
 
 class SharedEffectLog(dict[tuple[str, str], float]):
-    """The log of effects for deduplication; this shard's entries are sent to all others, except those of a cell."""
+    """The log of effects for deduplication; sends this shard's entries to all others, unless their scope is a cell."""
 
     def __init__(self, shard: Shard, event_queue: EventQueue, settings: SimulationSettings) -> None:
         super().__init__()
--- a/kelptrail/simulation/shard.py
+++ b/kelptrail/simulation/shard.py
@@ -62,9 +62,9 @@
         self._replies[self._last_request] = on_reply
         self.post(when, target, kind, self.number, self._last_request, *arguments)
 
-    def on_reply(self, number: int, arguments: tuple[Any, ...]) -> None:
-        """Deliver a reply to a request; a second reply is ignored."""
-        on_reply = self._replies.pop(number, None)
+    def on_reply(self, request: int, arguments: tuple[Any, ...]) -> None:
+        """Deliver a reply to the request of this number; a second reply is ignored."""
+        on_reply = self._replies.pop(request, None)
         if on_reply is not None:
             on_reply(*arguments)
 
--- a/kelptrail/simulation/sharding.py
+++ b/kelptrail/simulation/sharding.py
@@ -56,7 +56,7 @@
 
 
 class InboxMessage(NamedTuple):
-    """A message as its target shard receives it."""
+    """A message as its target shard receives it, at time `at` in ms."""
 
     at: float
     kind: MessageKind
@@ -64,7 +64,7 @@
 
 
 class Window(NamedTuple):
-    """The next window of a shard: its end in ms, and the messages that arrive until then."""
+    """The next window of a shard: its end in ms, and the messages that other shards sent in the last window."""
 
     until: float
     inbox: list[InboxMessage]
--- a/tests/test_sharding.py
+++ b/tests/test_sharding.py
@@ -1,4 +1,4 @@
-"""Simulation in several processes: deterministic, close to a run in one, and passed by the history checker."""
+"""Simulation in several processes: deterministic, close to a run in one process, and valid for the history checker."""
 
 from __future__ import annotations
 
