--- a/kelptrail/emulator/invoke_client.py
+++ b/kelptrail/emulator/invoke_client.py
@@ -15,12 +15,12 @@
 
 from .client_calls import CallTracker, ClientCall, answer_of_response
 
-POLL_INTERVAL_MS = 150.0  # time between two polls of a deferred call
-POLLING_MARGIN_MS = 3000.0  # a polling client gives up this long after the call's timeout
-FAILOVER_POLLING_MARGIN_MS = 20_000.0  # the same with replicas: another dispatcher may have to take over a failed one
+POLL_EVERY_MS = 150.0  # time between two polls of a deferred call
+POLL_FOR_MS = 3000.0  # a polling client gives up this long after the call's timeout
+FAILOVER_POLL_FOR_MS = 20_000.0  # the same with replicas: another dispatcher may have to take over a failed one
 POLL_TIMEOUT_S = 2.0  # for a single poll
 ANSWER_MARGIN_MS = 500  # time that a client waits beyond the call's timeout
-CONNECTIONS, CONNECT_TIMEOUT_MS, IDLE_TIMEOUT_MS, MAX_ANSWER_BYTES = 2000, 500.0, 10_000.0, 1 << 22
+CONNECTIONS, CONNECT_TIMEOUT_MS, IDLE_MS, MAX_ANSWER_BYTES = 2000, 500.0, 10_000.0, 1 << 22
 
 
 def _address_in(response: Response) -> str:
@@ -80,7 +80,7 @@
         call.activation, call.poll_address = activation, address
         self._tracker.on_accepted(call)
         self.polling += 1
-        self._loop.call_later(POLL_INTERVAL_MS / 1000, self._poll, call)
+        self._loop.call_later(POLL_EVERY_MS / 1000, self._poll, call)
 
     def _poll_pool(self, address: str) -> WorkerPool:
         if address not in self._poll_pools:
@@ -88,8 +88,8 @@
         return self._poll_pools[address]
 
     def _poll(self, call: ClientCall) -> None:
-        polling_margin_ms = FAILOVER_POLLING_MARGIN_MS if self._has_replicas else POLLING_MARGIN_MS
-        if now_ms() - call.attempt_started > call.type.timeout_ms + polling_margin_ms:
+        poll_for_ms = FAILOVER_POLL_FOR_MS if self._has_replicas else POLL_FOR_MS
+        if now_ms() - call.attempt_started > call.type.timeout_ms + poll_for_ms:
             self._tracker.on_poll_timeout(call)
             self.polling -= 1
             return
@@ -111,7 +111,7 @@
             call.poll_address = _address_in(response)
         elif response.status == 404 and "No dispatcher knows" in response.body.decode(errors="replace"):
             self._tracker.on_unknown(call)
-        self._loop.call_later(POLL_INTERVAL_MS / 1000, self._poll, call)
+        self._loop.call_later(POLL_EVERY_MS / 1000, self._poll, call)
 
     def close(self) -> None:
         """Close all connections."""
@@ -120,4 +120,4 @@
 
 
 def _open_pool(address: str) -> WorkerPool:
-    return WorkerPool(address, CONNECTIONS, CONNECT_TIMEOUT_MS, IDLE_TIMEOUT_MS, MAX_ANSWER_BYTES)
+    return WorkerPool(address, CONNECTIONS, CONNECT_TIMEOUT_MS, IDLE_MS, MAX_ANSWER_BYTES)
--- a/kelptrail/load/generator.py
+++ b/kelptrail/load/generator.py
@@ -14,7 +14,7 @@
 from .arrivals import Arrivals
 from .choices import ActionChoice, NamespaceChoice
 from .client_behavior import behavior_of
-from .generator_clients import POLLING_MARGIN_MS, GeneratedCall, GeneratorClients
+from .generator_clients import POLL_FOR_MS, GeneratedCall, GeneratorClients
 from .generator_counters import GeneratorCounters, new_counters
 from .generator_settings import GeneratorSettings
 from .plan import Load, Script
@@ -45,7 +45,7 @@
         gc.set_threshold(*GC_THRESHOLD)
         await asyncio.gather(*(self._run_load(load) for load in self._script.load))
         longest_timeout_ms = max(type_.timeout_ms for type_ in self._deployment.types.values())
-        end_ms = now_ms() + longest_timeout_ms + POLLING_MARGIN_MS
+        end_ms = now_ms() + longest_timeout_ms + POLL_FOR_MS
         while self._clients.open_calls and now_ms() < end_ms:
             await asyncio.sleep(OPEN_CALLS_CHECK_S)
         self.counters.connections = self._clients.connections_made
--- a/kelptrail/load/generator_clients.py
+++ b/kelptrail/load/generator_clients.py
@@ -26,11 +26,11 @@
 from .invoke_api import FinalAnswer, authorization_of, encode_call, encode_poll, read_final_answer
 from .plan import Load
 
-POLL_INTERVAL_MS = 150.0  # time between two polls of a deferred call
-POLLING_MARGIN_MS = 3000.0  # a polling client gives up this long after the call's timeout
+POLL_EVERY_MS = 150.0  # time between two polls of a deferred call
+POLL_FOR_MS = 3000.0  # a polling client gives up this long after the call's timeout
 POLL_TIMEOUT_MS = 2000.0  # for a single poll
 ANSWER_MARGIN_MS = 500.0  # time that a client waits beyond the call's timeout
-IDLE_TIMEOUT_MS = 10_000.0  # time after which an idle connection is closed
+IDLE_MS = 10_000.0  # time after which an idle connection is closed
 MAX_ANSWER_BYTES = 1 << 22
 
 OnResponse = Callable[[Call, CallOutcome, Response | None], None]
@@ -69,7 +69,7 @@
         self._settings, self._counters, self._random = settings, counters, random
         self._authorization = {n.name: authorization_of(n) for n in deployment.namespaces.values()}
         self._pools = [
-            WorkerPool(address, settings.connections, settings.connect_timeout_ms, IDLE_TIMEOUT_MS, MAX_ANSWER_BYTES)
+            WorkerPool(address, settings.connections, settings.connect_timeout_ms, IDLE_MS, MAX_ANSWER_BYTES)
             for address in settings.addresses
         ]
         self.open_calls = 0  # calls that wait for an answer, their next poll or their next attempt
@@ -123,11 +123,11 @@
 
     def _schedule_poll(self, call: GeneratedCall) -> None:
         self.open_calls += 1
-        self._loop.call_later(POLL_INTERVAL_MS / 1000, self._poll, call)
+        self._loop.call_later(POLL_EVERY_MS / 1000, self._poll, call)
 
     def _poll(self, call: GeneratedCall) -> None:
         self.open_calls -= 1
-        if now_ms() - call.due > call.type.timeout_ms + POLLING_MARGIN_MS:
+        if now_ms() - call.due > call.type.timeout_ms + POLL_FOR_MS:
             self._end_attempt(call, ClientOutcome.LOST, "polled")
             return
         address = self._settings.addresses[call.dispatcher]
--- a/kelptrail/simulation/call_results.py
+++ b/kelptrail/simulation/call_results.py
@@ -45,7 +45,7 @@
         second.retries += self._cluster.event_queue.now > call.first_sent_at
         self._record(
             "call",
-            call=call.attempt_id,
+            call=call.call_id,
             ticket=call.ticket,
             action=call.action.path,
             type=call.action.type,
@@ -58,23 +58,23 @@
     def on_not_accepted(self, call: ClientCall) -> None:
         """Record that a dispatcher did not accept the call."""
         self._cluster.current_second().not_taken += 1
-        self._record("not-taken", call=call.attempt_id)
+        self._record("not-taken", call=call.call_id)
 
     def on_accepted(self, call: ClientCall) -> None:
         """Record that a deferred call was acknowledged."""
-        self._record("accepted", call=call.attempt_id, activation=call.activation)
+        self._record("accepted", call=call.call_id, activation=call.activation)
 
     def on_lost(self, call: ClientCall, cause: str) -> None:
         """Record that the client stopped waiting (cause "no-answer") or polling (cause "polled")."""
         self._cluster.current_second().lost += 1
         self._count_give_up(cause)
-        self._record("no-answer", call=call.attempt_id, ending=cause)
+        self._record("no-answer", call=call.call_id, ending=cause)
 
     def on_final(self, call: ClientCall, answer: ReceivedAnswer, type_: TypeSettings) -> None:
         """Record the final answer of a call."""
         self._record(
             "final",
-            call=call.attempt_id,
+            call=call.call_id,
             activation=answer.activation,
             answer=answer.answer,
             status=0,
--- a/kelptrail/simulation/clients.py
+++ b/kelptrail/simulation/clients.py
@@ -49,7 +49,7 @@
     dispatcher: int = 0  # index in the shard's dispatchers
     sent_at: float = 0.0
     activation: str = ""
-    attempt_id: str = ""  # id of the current attempt, captured as "call"
+    call_id: str = ""  # id of the current attempt, captured as "call"
     first_sent_at: float = 0.0
     timeout_timer: Timer | None = None
     invocation: Invocation | None = None
@@ -102,27 +102,27 @@
             call.dispatcher = int(self._random.integers(count))
         else:
             call.dispatcher = (last_dispatcher + 1) % count
-        call.attempt_id, call.sent_at = f"c{self._id_prefix}{self._attempt_count}", self._event_queue.now
+        call.call_id, call.sent_at = f"c{self._id_prefix}{self._attempt_count}", self._event_queue.now
         call.activation, call.invocation = "", None
         dispatcher = self._cluster.local_dispatchers[call.dispatcher]
         timeout_ms = self._type_of(call).timeout_ms
         self._results.on_call_sent(call, dispatcher.number, timeout_ms)
         call.timeout_timer = self._event_queue.after(
-            timeout_ms + CLIENT_TIMEOUT_MARGIN_MS, self._on_client_timeout, call, call.attempt_id
+            timeout_ms + CLIENT_TIMEOUT_MARGIN_MS, self._on_client_timeout, call, call.call_id
         )
-        self._event_queue.after(self._settings.network_ms, self._deliver_call, dispatcher, call, call.attempt_id)
+        self._event_queue.after(self._settings.network_ms, self._deliver_call, dispatcher, call, call.call_id)
 
     def _type_of(self, call: ClientCall) -> TypeSettings:
         return self._deployment.types[call.action.type]
 
-    def _deliver_call(self, dispatcher: SimulatedDispatcher, call: ClientCall, attempt_id: str) -> None:
+    def _deliver_call(self, dispatcher: SimulatedDispatcher, call: ClientCall, call_id: str) -> None:
         if not dispatcher.up:
             self._on_not_accepted(call)
         else:
-            dispatcher.enqueue_input(self._handle_call, dispatcher, call, attempt_id)
+            dispatcher.enqueue_input(self._handle_call, dispatcher, call, call_id)
 
-    def _handle_call(self, dispatcher: SimulatedDispatcher, call: ClientCall, attempt_id: str) -> None:
-        if call.attempt_id != attempt_id:
+    def _handle_call(self, dispatcher: SimulatedDispatcher, call: ClientCall, call_id: str) -> None:
+        if call.call_id != call_id:
             return
         gateway, now = dispatcher.gateway, self._event_queue.now
         key = call.ticket if self._type_of(call).effect == "deduplicated" else None
@@ -142,12 +142,12 @@
 
     def _submit(self, dispatcher: SimulatedDispatcher, call: ClientCall, key: str | None) -> None:
         """Submit the call to the gateway core; a deferred call is acknowledged once its record is durable."""
-        gateway, now, attempt_id = dispatcher.gateway, self._event_queue.now, call.attempt_id
+        gateway, now, call_id = dispatcher.gateway, self._event_queue.now, call.call_id
         invocation = gateway.submit(
             now,
             WALL_CLOCK_ORIGIN_MS + now,
             Submission(call.namespace.name, call.action, b"{}", key, deferred=call.deferred, client_key=call.ticket),
-            lambda record: self._deliver_record(call, attempt_id, record),
+            lambda record: self._deliver_record(call, call_id, record),
         )
         call.invocation, call.dispatcher_start_number = invocation, dispatcher.start_number
         if call.deferred:
@@ -166,12 +166,12 @@
         """
         invocation = dispatcher.gateway.in_flight_of(record.id)
         if record.visible:
-            self._deliver_record(call, call.attempt_id, record)
+            self._deliver_record(call, call.call_id, record)
         elif call.deferred or invocation is None:
             self._on_accepted(call, record.id)
         else:
-            attempt_id = call.attempt_id
-            invocation.waiters.append(lambda ended: self._deliver_record(call, attempt_id, ended))
+            call_id = call.call_id
+            invocation.waiters.append(lambda ended: self._deliver_record(call, call_id, ended))
 
     def _on_durability_known(
         self, dispatcher: SimulatedDispatcher, call: ClientCall, invocation: Invocation, durable: bool | None
@@ -201,11 +201,11 @@
         else:
             self._event_queue.after(POLL_INTERVAL_MS, self._poll, call)
 
-    def _deliver_record(self, call: ClientCall, attempt_id: str, record: Record) -> None:
-        self._event_queue.after(self._settings.network_ms, self._on_record_received, call, attempt_id, record)
+    def _deliver_record(self, call: ClientCall, call_id: str, record: Record) -> None:
+        self._event_queue.after(self._settings.network_ms, self._on_record_received, call, call_id, record)
 
-    def _on_record_received(self, call: ClientCall, attempt_id: str, record: Record) -> None:
-        if call.attempt_id == attempt_id and call.timeout_timer is not None:
+    def _on_record_received(self, call: ClientCall, call_id: str, record: Record) -> None:
+        if call.call_id == call_id and call.timeout_timer is not None:
             self._cancel_timeout(call)
             self._finish_with_record(call, record, None)
 
@@ -237,8 +237,8 @@
             call.timeout_timer.cancel()
             call.timeout_timer = None
 
-    def _on_client_timeout(self, call: ClientCall, attempt_id: str) -> None:
-        if call.attempt_id != attempt_id or call.timeout_timer is None:
+    def _on_client_timeout(self, call: ClientCall, call_id: str) -> None:
+        if call.call_id != call_id or call.timeout_timer is None:
             return
         call.timeout_timer = None
         dispatcher, invocation = self._cluster.local_dispatchers[call.dispatcher], call.invocation
