--- a/kelptrail/emulator/invoke_client.py
+++ b/kelptrail/emulator/invoke_client.py
@@ -15,8 +15,8 @@
 
 from .client_calls import CallTracker, ClientCall, answer_of_response
 
-POLL_EVERY_MS = 150.0
-POLL_FOR_MS = 3000.0  # polling time beyond the call's timeout
+POLL_EVERY_MS = 150.0  # time between two polls of a deferred call
+POLL_FOR_MS = 3000.0  # a polling client gives up this long after the call's timeout
 FAILOVER_POLL_FOR_MS = 20_000.0  # the same with replicas: another dispatcher may have to take over a failed one
 POLL_TIMEOUT_S = 2.0  # for a single poll
 ANSWER_MARGIN_MS = 500  # time that a client waits beyond the call's timeout
--- a/kelptrail/simulation/clients.py
+++ b/kelptrail/simulation/clients.py
@@ -68,7 +68,7 @@
         self._random = np.random.default_rng([seed, 7, number, count] if count > 1 else [seed, 7])
         self._arrivals = CallArrivals(cluster, self._random, self._begin_call)
         self._id_prefix = f"{number}-" if count > 1 else ""
-        self._ticket_count = self._call_count = 0
+        self._ticket_count = self._attempt_count = 0
         self._namespaces = NamespaceChoice(cluster.deployment.namespaces)
 
     def schedule_arrivals(self, load: Load) -> None:
@@ -96,13 +96,13 @@
     def _call_dispatcher(self, call: ClientCall, last_dispatcher: int | None) -> None:
         """Call a random dispatcher, or in a retry the one after `last_dispatcher`."""
         call.attempts_left -= 1
-        self._call_count += 1
+        self._attempt_count += 1
         count = len(self._cluster.local_dispatchers)
         if last_dispatcher is None:
             call.dispatcher = int(self._random.integers(count))
         else:
             call.dispatcher = (last_dispatcher + 1) % count
-        call.call_id, call.sent_at = f"c{self._id_prefix}{self._call_count}", self._event_queue.now
+        call.call_id, call.sent_at = f"c{self._id_prefix}{self._attempt_count}", self._event_queue.now
         call.activation, call.invocation = "", None
         dispatcher = self._cluster.local_dispatchers[call.dispatcher]
         timeout_ms = self._type_of(call).timeout_ms
