--- a/bench/fault_injection/drain_check.py
+++ b/bench/fault_injection/drain_check.py
@@ -26,7 +26,7 @@
         self._drained_at, self._outages = drained_at, outages
 
     def problems(self, sent: Iterable[CapturedAttempt | CapturedOrder]) -> list[str]:
-        """Return what was sent too late, by worker and process."""
+        """Return one problem for each worker and process with attempts or load orders that were sent too late."""
         late: dict[tuple[int, int], list[float]] = {}
         for each in sent:
             if not each.is_timed or each.worker not in self._drained_at:
--- a/bench/fault_injection/settings.py
+++ b/bench/fault_injection/settings.py
@@ -25,7 +25,7 @@
     AT_MOST_ONCE = "o"
 
 
-# Idempotency of each request class, by its name in the settings.
+# The idempotency of each request class, as the settings name it.
 EFFECTS = {
     RequestKind.IDEMPOTENT: "free",
     RequestKind.DEDUPLICATED: "guarded",
--- a/bench/fault_injection/slow_start_check.py
+++ b/bench/fault_injection/slow_start_check.py
@@ -21,7 +21,7 @@
 class SlowStartCheck:
     """Compares the calls to a new worker in each window with what the warm workers complete.
 
-    `attempts` are those of processes that can determine when the worker started."""
+    `attempts` must come only from processes that can determine when the worker started."""
 
     def __init__(self, attempts: Iterable[CapturedAttempt], calls: Iterable[WorkerCall]) -> None:
         self._attempts = list(attempts)
--- a/bench/fault_injection/system_calls.py
+++ b/bench/fault_injection/system_calls.py
@@ -79,7 +79,7 @@
 
 
 def build_library(folder: Path) -> Path | None:
-    """Build the library that fails system calls and return its path; None without a compiler."""
+    """Build the library that makes system calls fail and steps clocks; return its path, None without a compiler."""
     compiler = find_compiler()
     if compiler is None:
         return None
--- a/bench/hedged_requests.py
+++ b/bench/hedged_requests.py
@@ -98,17 +98,19 @@
 
     names = list(VARIANTS)
 
-    def by_variant(figure: Callable[[Row], float]) -> list[float]:
-        return [statistics.median(figure(row) for row in rows if row["variant"] == name) for name in names]
+    def medians_by_variant(value_of: Callable[[Row], float]) -> list[float]:
+        return [statistics.median(value_of(row) for row in rows if row["variant"] == name) for name in names]
 
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(11, 4))
-    saved, wasted = by_variant(lambda row: row["saved"]), by_variant(lambda row: row["wasted"])
+    saved, wasted = medians_by_variant(lambda row: row["saved"]), medians_by_variant(lambda row: row["wasted"])
     left.bar(names, saved, label="saved", color="#3a7d44")
     left.bar(names, wasted, bottom=saved, label="wasted", color="#a63d40")
     left.set_ylabel("repeated attempts a run")
     left.legend()
     for shift, percentile in ((-0.2, "p99"), (0.2, "p99.9")):
-        latencies = by_variant(lambda row, percentile=percentile: row["check_ms"][percentile])  # type: ignore[misc]
+        latencies = medians_by_variant(
+            lambda row, percentile=percentile: row["check_ms"][percentile]  # type: ignore[misc]
+        )
         right.bar([n + shift for n in range(len(names))], latencies, 0.4, label=percentile)
     right.set_xticks(range(len(names)), names)
     right.set_ylabel("ms, idempotent calls")
--- a/bench/inference.py
+++ b/bench/inference.py
@@ -1,8 +1,8 @@
 """Measures the inference API: `python bench/inference.py`.
 
 Compares its unary calls with the invoke API and with plain echo servers, with and without TLS, and its streams with
-streams directly from a worker.  Each process runs on its own core; the workers echo.  Prints one JSON line per part:
-rates and CPU of unary calls, TLS handshakes a second, times of streams, and memory per stream.
+streams directly from a worker.  Each server is pinned to one core; the workers echo.  Prints JSON lines: rates and CPU
+of unary calls, TLS handshakes a second, times of streams, and memory per stream.
 """
 
 from __future__ import annotations
--- a/bench/lease_measurements/failover.py
+++ b/bench/lease_measurements/failover.py
@@ -133,10 +133,10 @@
 
 
 def holder_gaps_ms(events: list[dict[str, Any]], fault_times_ms: list[float]) -> list[float]:
-    """Return the time without a holder after each fault, in ms.
+    """Return the number of milliseconds without a holder after each fault.
 
-    It lasts from the last use of the lease under the old token to the first under a newer one.  `looked` in an event is
-    the time at which the holder checked its lease; `taken` tells whether the use was accepted."""
+    This time lasts from the last use of the lease under the old token to the first under a newer one.  `looked` in an
+    event is the time at which the holder checked its lease; `taken` tells whether the use was accepted."""
     uses = sorted((e for e in events if e["what"] in ("act", "done") and e["taken"]), key=lambda e: e["looked"])
     gaps = []
     for at in fault_times_ms:
@@ -159,7 +159,7 @@
 
 
 def gap_bound_ms(leases: LeasesConfig) -> float:
-    """Return the longest time without a holder that the settings allow, in ms.
+    """Return the largest number of milliseconds without a holder that the settings allow.
 
     It is the sum of a lease granted just before the fault, on the clock of the slowest acceptor; 1.5 retry pauses; the
     queue spacing for seven dispatchers; the timeout of a request to a first acceptor that does not answer; and 100 ms
--- a/bench/lease_measurements/models.py
+++ b/bench/lease_measurements/models.py
@@ -42,7 +42,9 @@
 
 @dataclass(frozen=True, slots=True)
 class WalkSetup:
-    """A kind of random walk; `options` are further fields of `ModelSetup`, and `settings` that replace `SETTINGS`."""
+    """A kind of random walk.
+
+    `options` has further fields of `ModelSetup`; its `settings`, if given, replace `SETTINGS`."""
 
     budget: Budget
     fault_share: float
--- a/bench/lease_measurements/request_cost.py
+++ b/bench/lease_measurements/request_cost.py
@@ -24,8 +24,8 @@
 ROOT = Path(__file__).parent.parent.parent
 ACCEPTORS = ("v0", "v1", "v2")
 MEASURED_CORE, LOAD_CORE, CONNECTIONS = 3, 5, 32
-# Time between the starts of the acceptors.  The first cannot acquire a lease alone; when the second joins, it acquires
-# the leases of all tasks.
+# Time between the starts of the acceptors.  The first cannot acquire a lease alone; it acquires the leases of all tasks
+# when the second joins.
 JOIN_INTERVAL_S = 6
 SETTLE_S = 8
 TARGET = "/api/v1/namespaces/_/actions/f-0?blocking=true&result=true"
--- a/bench/load.py
+++ b/bench/load.py
@@ -64,7 +64,7 @@
     latencies: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS))
 
     def add(self, started_at: float) -> None:
-        """Count a call that started, or was due, at `started_at`."""
+        """Count a call that ends now; `started_at` is the time at which it started or was due."""
         self.latencies.record_value(max(1, int((time.monotonic() - started_at) * 1e6)))
         self.calls += 1
 
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -1,7 +1,8 @@
 """Compares the gateway with a bare pass-through, in turns on one core each: `python bench/overhead.py`.
 
-Prints medians of several runs: calls a second with 32 clients, median and 99th percentile at half the gateway's
-rate, CPU per activation, and memory over 200,000 activations.  Echo workers answer immediately.
+Prints medians of several runs: calls a second over 32 connections, median and 99th percentile of latency at half the
+gateway's rate, and CPU per activation.  Also prints the gateway's memory over 200,000 activations.  Echo workers answer
+immediately.
 """
 
 from __future__ import annotations
--- a/bench/planner.py
+++ b/bench/planner.py
@@ -2,7 +2,7 @@
 
 times: time and cost of plans by the number of workers and functions, for the greedy solver and the linear program.
 edge: latency of an edge while a planner on the same machine solves for 1,000 workers and 5,000 functions, or is idle.
-channel: bytes a second between a planner and 30 edges that report usage of all functions.
+channel: bytes a second between a planner and 30 edges whose calls are spread over 5,000 functions.
 """
 
 from __future__ import annotations
@@ -37,9 +37,9 @@
     endpoint_service: Process
 
 
-async def start_planner(cluster: Cluster, name: str) -> PlannerProcesses:
-    """Start a planner and its endpoint service; `name` is the name of the latter."""
-    endpoint_service = await cluster.start_process(name, ["emulate", "endpoint-service"])
+async def start_planner(cluster: Cluster, endpoint_service_name: str) -> PlannerProcesses:
+    """Start an endpoint service with this process name, and a planner that uses it."""
+    endpoint_service = await cluster.start_process(endpoint_service_name, ["emulate", "endpoint-service"])
     options = ["--roster", endpoint_service.ready_info["address"], "--control", "127.0.0.1:0"]
     planner = await cluster.start_process("planner", ["planner", str(LARGE), *options])
     return PlannerProcesses(planner, endpoint_service)
--- a/bench/platform_fuzz.py
+++ b/bench/platform_fuzz.py
@@ -2,11 +2,12 @@
 
     python bench/platform_fuzz.py --days 20 --seed 1
 
-Its processes run between clients, workers and an endpoint list that behave at random, and receive random signals.  What
-passed over the sockets is checked against the five rules (kelptrail/dispatch/safety.py) and two further conditions.
+The program's processes run between clients, workers and an endpoint list that behave at random, and receive random
+signals.  What passed over the sockets is checked against the five rules (kelptrail/dispatch/safety.py) and two further
+conditions; the checks are in fault_injection/request_checks.py and fault_injection/fuzz_checks.py.
 
-A run takes some seconds.  The seed determines the random choices, but not their timing.  The exit code is 1 if a rule
-is broken.
+A run takes some seconds.  The seed determines the random choices, but not their timing.  The exit code is 1 if a
+problem was found.
 """
 
 from __future__ import annotations
@@ -95,14 +96,14 @@
 
     async def _replace_worker(self) -> None:
         """Drain the first worker, list a new one, and later remove the first, spread over the time of the run."""
-        step = self._seconds / 4
-        await asyncio.sleep(step)
+        quarter_s = self._seconds / 4
+        await asyncio.sleep(quarter_s)
         self._list.publish(EndpointChange(DRAINED_WORKER, DRAINED_WORKER, EndpointState.DRAINING))
         self.state.drained_at[DRAINED_WORKER] = time.monotonic()
         self._list.publish(EndpointChange(NEW_ENDPOINT_ID, LISTED_WORKERS, EndpointState.LIVE))
-        await asyncio.sleep(step)
+        await asyncio.sleep(quarter_s)
         self._list.publish(EndpointChange(DRAINED_WORKER, DRAINED_WORKER, EndpointState.REMOVED))
-        await asyncio.sleep(2 * step)
+        await asyncio.sleep(2 * quarter_s)
 
     async def _disturb_process(self, n: int) -> None:
         """Reload or restart one process at random times while the run lasts."""
--- a/bench/replication.py
+++ b/bench/replication.py
@@ -1,8 +1,8 @@
 """Measures replication and take-over: `python bench/replication.py cost|takeover|refill|walks`.
 
 `cost`: deferred calls on three real dispatchers with 0, 1 and 2 replicas, on disk and in memory.  `takeover`: one
-process reads, recovers and resumes the activations of a journal, with emulated workers.  `refill`: real processes under
-load, one of which is lost with its disk and its replica.  `walks`: random walks over the model of one journal.
+process reads, recovers and resumes the activations of a journal; timers replace the workers.  `refill`: real processes
+under load, one of which is lost with its disk and its replica.  `walks`: random walks over the model of one journal.
 """
 
 from __future__ import annotations
--- a/bench/replication_takeover.py
+++ b/bench/replication_takeover.py
@@ -143,7 +143,7 @@
 
 
 async def _recover(gateway: Gateway, resumption: Resumption, reading: ReadRequest, at_once: int) -> float:
-    """Recover all activations in batches, unfinished ones first; return the longest time of a batch, in ms."""
+    """Recover all activations in batches, unfinished ones first; return the milliseconds of the longest batch."""
     journal = ImmediateJournal()
     activations = sorted(reading.activations, key=lambda each: (each.ended is not None, each.accepted.start))
     longest_ms = 0.0
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -8,8 +8,8 @@
 
 Each seed is one run.  Its first half is quiet and starts without faults, its second half is busy.  The seed determines
 the random choices, but not their timing.  The exit code is 1 if a problem was found.  System calls fail and clocks are
-stepped by a library that the soak builds from bench/soak_shim.c; without a C compiler the soak prints a note and
-injects only the other faults.
+stepped by a library that the soak builds from bench/soak_shim.c; without a C compiler the soak prints a note, and these
+two kinds of faults have no effect.
 """
 
 from __future__ import annotations
--- a/bench/vrrp_failover.py
+++ b/bench/vrrp_failover.py
@@ -31,7 +31,8 @@
 
 
 def master_down_interval_ms(deployment: Deployment) -> float:
-    """Return the Active_Down_Interval of RFC 9568, after which the router of second priority takes over, in ms."""
+    """Return the milliseconds of the Active_Down_Interval (RFC 9568), after which the router of the second-highest
+    priority takes over."""
     assert deployment.vrrp is not None
     first = deployment.vrrp.router[0]
     priorities = sorted((member.priority for member in first.member), reverse=True)
--- a/bench/vrrp_holders.py
+++ b/bench/vrrp_holders.py
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True)
 class HolderTimeline:
-    """The time for which an address had no, one, two or more holders, and the changes of their number."""
+    """The time for which an address had no, one, two, or more than two holders, and the changes of their number."""
 
     seconds: dict[str, float] = field(default_factory=lambda: dict.fromkeys(COUNT_NAMES, 0.0))
     changes: list[CountChange] = field(default_factory=list)
