--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -115,7 +115,7 @@
 
 
 def load_and_serve_one(dispatcher: Dispatcher, function: Function, now: float = 0.0, instances: int = 1) -> Worker:
-    """Load an instance (or `instances`) for one request, and complete its attempt after 50 ms; return the worker."""
+    """Load `instances` instances for one request, complete its attempt after 50 ms, and return the worker."""
     request = new_request(function, now)
     dispatcher.on_request(now, request)
     dispatcher.parts.instances.shared_ratio = 0.0
--- a/tests/raw_sockets.py
+++ b/tests/raw_sockets.py
@@ -74,7 +74,7 @@
 
 
 class BlockedConnects:
-    """Replaces `connect` of a module; new connects wait until `gate` is set."""
+    """Replaces `connect` of a module; new connects, with `port` only those to this port, wait until `gate` is set."""
 
     def __init__(
         self, monkeypatch: pytest.MonkeyPatch, module: Any = worker_connection, port: int | None = None
@@ -90,7 +90,7 @@
 
 
 def read_until(process: subprocess.Popen[bytes], text: str, within: float = 4.0) -> str:
-    """Return the output of the process up to the end of the read that contains `text`.
+    """Read the output of the process until it contains `text`, and return what was read.
 
     Raises `AssertionError` if the process ends before, or after `within` seconds.
     """
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -117,7 +117,7 @@
 
 
 def read_some(sock: socket.socket) -> list[tuple[int, int, bytes]]:
-    """Return the frames that the first read with a complete frame completes; none if the connection ends before."""
+    """Read until at least one frame is complete; return all complete frames, or none if the connection ends first."""
     sock.settimeout(3.0)
     reader, received = frames.FrameReader(1 << 20), []
     while not received and (data := sock.recv(65536)):
--- a/tests/test_inference.py
+++ b/tests/test_inference.py
@@ -624,13 +624,13 @@
     async def flush(self) -> None:
         await self.loop.sock_sendall(self.sock, self.h2.data_to_send())
 
-    async def read(self, until: type, within: float = 2.0) -> Any:
-        """Return the next event of a kind; None if the connection ends first."""
+    async def read(self, event_type: type, within: float = 2.0) -> Any:
+        """Return the next event of this type; None if the connection ends first."""
         buffer = bytearray(65536)
         async with asyncio.timeout(within):
             while True:
                 for event in self.events:
-                    if isinstance(event, until):
+                    if isinstance(event, event_type):
                         self.events.remove(event)
                         return event
                 try:
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -59,7 +59,7 @@
 
 
 def test_no_connected_client_is_lost_while_the_listener_closes() -> None:
-    """Guards against a connection that was accepted in `sock_accept` and dropped when that task was cancelled."""
+    """Guards against a connection that `sock_accept` had accepted, and that was lost when its task was cancelled."""
 
     async def main() -> None:
         def handle(request: Request, exchange: Exchange) -> None:
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -173,7 +173,7 @@
 
 
 class ProcessReadingPipe:
-    """A process whose configuration is a pipe: it blocks while reading it, before the event loop handles signals."""
+    """A process whose configuration file is a pipe, so that it blocks before the event loop handles signals."""
 
     def __init__(self, tmp_path: Path) -> None:
         self._pipe = tmp_path / "pipe.json"
@@ -195,7 +195,7 @@
         raise AssertionError(f"the process does not read the pipe; exit code {self.process.poll()}")
 
     def replace(self, text: str) -> None:
-        """Replace the pipe by a file; a reader that has opened the pipe continues to read from it."""
+        """Replace the pipe by a file; a reader that has opened the pipe continues to read from the pipe."""
         file = self._pipe.with_suffix(".whole")
         file.write_text(text)
         file.replace(self._pipe)
@@ -286,7 +286,7 @@
 ) -> None:
     """SIGKILL may come 3.7 s after SIGTERM: 0.7 s plus the longest timeout, of which at most 3 s count.
 
-    The worker never answers, and the deadline of the request is later.
+    The worker never answers, and the deadline of the request is later than that.
     """
     monkeypatch.setitem(SETTINGS, "classes", [CLASS | {"give_up_us": 8_000_000}])
 
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -301,7 +301,7 @@
 def test_a_replica_store_in_format_1_is_read_completely(tmp_path: Path) -> None:
     """The disk id, the token and primary of each journal, its activations and its bucket digests are read.
 
-    Times are those of the local wall clock.  The stream of `WEST` was closed, so that only its token is left.
+    Times are those of the local wall clock.  The journal `WEST` was closed, so that only its token is left.
     """
     file = copy_fixture("copies.sqlite", tmp_path)
     assert run_sql(file, "PRAGMA user_version") == [(1,)]
@@ -401,7 +401,7 @@
 
 
 def test_the_in_sync_set_with_the_lease_of_a_journal_keeps_its_bytes() -> None:
-    """The last primary and the disk id of each in-sync dispatcher; they decide who may take over the journal."""
+    """Covers the last primary and the disk ids of in-sync dispatchers, which decide who may take over the journal."""
     note = (STORED / "lease-note-of-a-book.bin").read_bytes()
     assert decode_in_sync(note) == IN_SYNC
     assert (IN_SYNC.primary, IN_SYNC.disk_ids) == (
@@ -419,7 +419,7 @@
 
 
 def test_an_acceptor_store_in_format_2_is_read_completely(tmp_path: Path) -> None:
-    """The acceptor's state, and the token, length, release and note of the last lease of each task."""
+    """Covers the acceptor's state, and the token, length, release and note of the last lease of each task."""
     file = copy_fixture("leases-format-2.sqlite", tmp_path)
     store, state, rows, damage = open_acceptor_store(file)
     store.close()
@@ -470,7 +470,7 @@
     ],
 )
 def test_each_stage_of_an_acceptor_keeps_its_bytes(tmp_path: Path, body: str, state: DurableState) -> None:
-    """The row with an empty name: configuration number, stage, and whether the previous configuration is sealed."""
+    """The row with an empty name has configuration number, stage, and whether the previous configuration is sealed."""
     file, data = copy_fixture("leases-format-2.sqlite", tmp_path), bytes.fromhex(body)
     run_sql(file, "INSERT OR REPLACE INTO kept VALUES ('', ?, ?)", crc32(data), data)
     store, stored_state, rows, damage = open_acceptor_store(file)
@@ -514,7 +514,7 @@
 
 
 def test_a_saved_plan_keeps_its_digest_and_bytes() -> None:
-    """The digest of the plan, and the bytes of `plan.bin` before compression."""
+    """Covers the digest of the plan, and the bytes of `plan.bin` before compression."""
     plan = saved_plan()
     assert digest_of(plan.header, plan.instances) == plan.header.digest
     assert msgspec.msgpack.encode(SavedPlan(plan, 60000.0, 4e12)) == decompressed("plan.bin")
@@ -558,7 +558,7 @@
 
 
 def test_the_vrrp_epoch_only_increases(tmp_path: Path) -> None:
-    """`vrrp-epoch`, a decimal number.  If it decreased with an upgrade, peers would refuse its packets as old."""
+    """`vrrp-epoch` has a decimal number.  If it decreased with an upgrade, peers would refuse the packets as old."""
     file = copy_fixture("vrrp-epoch", tmp_path)
     assert next_epoch(file) == 4_000_000_000_001 and file.read_bytes() == b"4000000000001"
 
@@ -696,7 +696,7 @@
 
 
 def test_an_acceptor_store_written_under_load_is_read_completely(tmp_path: Path) -> None:
-    """Nine tasks, among them journals with in-sync sets; their rows and notes are written as the same bytes."""
+    """The store has nine tasks, among them journals with in-sync sets; rows and notes are written as the same bytes."""
     file = copy_fixture("day-of-leases/leases.sqlite", tmp_path)
     stored_rows = run_sql(file, "SELECT * FROM kept ORDER BY name")
     store, state, rows, damage = open_acceptor_store(file)
@@ -826,7 +826,7 @@
 
 
 def test_an_arrival_trace_is_read() -> None:
-    """Arrival times in seconds, with or without an action, between comments and empty lines."""
+    """The file has arrival times in seconds, with or without an action, between comments and empty lines."""
     trace = read_trace(STORED / "arrivals.csv")
     assert trace.times.tolist() == [0.25, 0.5, 0.5, 2.75] and trace.length_s == 3.4375
     assert trace.actions == ["desk/sum", "", "desk/see", "desk/sum"]
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -118,7 +118,7 @@
 
 
 def test_an_attempt_is_sent_with_the_time_that_remains_after_a_slow_connect(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The limit on the wire is rendered when the attempt is sent, not when it is queued."""
+    """The time limit is encoded when the attempt is sent, not when it is queued."""
     limits: list[int] = []
 
     class LimitRecorder(WorkerStub):
@@ -235,7 +235,7 @@
 def test_a_start_time_from_another_clock_is_replaced_by_the_time_of_the_previous_list(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The dispatcher's wall clock is an hour ahead of the list's since its start, so it has detected no step."""
+    """The dispatcher's wall clock has been an hour ahead of the list's since the start, so no step was detected."""
     real_time = time.time
     monkeypatch.setattr("time.time", lambda: real_time() + 3600)
 
@@ -250,7 +250,7 @@
 
 
 def test_a_transient_receive_failure_is_not_taken_for_the_end_of_a_connection() -> None:
-    """An idle connection with an unread request is not closed for a new one because the check for input failed."""
+    """A failed check for input must not close an idle connection that has an unread request."""
 
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
--- a/tests/test_wire_fixtures.py
+++ b/tests/test_wire_fixtures.py
@@ -158,7 +158,7 @@
 
 
 def test_in_sync_sets_and_digests_of_journals_keep_their_bytes() -> None:
-    """The note with a journal's lease, the buckets of ids, and the digests that two dispatchers compare."""
+    """Covers the note with a journal's lease, the buckets of ids, and the digests that two dispatchers compare."""
     fixture = CHANNEL["books"]
     data = bytes.fromhex(fixture["note"])
     in_sync = replication.decode_in_sync(data)
@@ -214,8 +214,8 @@
 def test_settings_of_an_example_keep_their_values(file: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """A deployment, fault scenario or experiment is read as the same values in the same order.
 
-    So a changed key, default or unit fails.  In the fixture, `values` has all values, and `parts` a digest of each
-    field of the outermost form.
+    A changed key, default or unit therefore fails the test.  In the fixture, `values` has all values, and `parts` a
+    digest of each field of the outermost form.
     """
     monkeypatch.chdir(ROOT)
     values = to_json_types(READERS[Path(file).parent.name](file))
@@ -473,7 +473,7 @@
 
 
 def dict_literal_keys(words: set[str]) -> Counter[tuple[str, ...]]:
-    """Count the key tuples of dict literals in all source files of the package that have one of `words` as a key."""
+    """Count the key tuples of all dict literals in those source files of the package where one of `words` is a key."""
     counts: Counter[tuple[str, ...]] = Counter()
     for file in sorted((ROOT / "kelptrail").rglob("*.py")):
         source = file.read_text(encoding="utf-8")
@@ -499,7 +499,7 @@
 
 
 def test_usage_is_shown_with_its_keys() -> None:
-    """The complete answer of `/usage` after a total was received."""
+    """Covers the complete answer of `/usage` after a total was received."""
     token = lease_messages.FencingToken(9, "d2/r2")
     view = usage_module.UsageView()
     assert view.on_total(usage_module.UsageTotal(token, 73, 3, {"n1": (1.234, 2.5, 3.5)}))
@@ -509,7 +509,7 @@
 
 
 def test_overload_status_is_shown_with_its_keys() -> None:
-    """The part `storm` of `/state`, before the first request."""
+    """Covers the part `storm` of `/state`, before the first request."""
     assert json_text(OverloadController(OverloadSettings(), 1).status()) == json_text(BYTES["storm"])
 
 
@@ -647,7 +647,7 @@
 
 
 def test_endpoint_list_is_polled_and_read_as_recorded(tmp_path: Path) -> None:
-    """The target of the long poll with all its parameters, the list in an answer, and the list saved for a restart."""
+    """Covers the long poll's target with all parameters, the list in an answer, and the list saved for a restart."""
     assert json_text(run(record_endpoint_client_traffic(tmp_path))) == json_text(SOCKETS["followed"])
 
 
@@ -669,5 +669,5 @@
 
 
 def test_emulated_endpoint_service_answers_as_recorded() -> None:
-    """`POST /register`, `POST /state` and `GET /workers` of the emulated endpoint service: paths, keys and values."""
+    """Covers `POST /register`, `POST /state` and `GET /workers`: paths, keys and values."""
     assert json_text(run(query_emulated_endpoint_service())) == json_text(SOCKETS["list"])
