--- a/bench/fault_injection/clients.py
+++ b/bench/fault_injection/clients.py
@@ -25,6 +25,7 @@
 MAX_READ_DELAY_S = 0.05
 ANSWERS_TIMEOUT_S = 2.5
 READ_END_TIMEOUT_S = 1.0  # limit of the wait for the reader of a connection that has ended
+RECEIVE_BYTES = 65_536  # limit of one read
 # Batches of a client that ignores GO_AWAY.  With their mean pause of 0.03 s (`_send_batches`) they take about 4 s,
 # longer than from SIGTERM to the earliest SIGKILL (`MAX_SHUTDOWN_S` in soak_processes.py).
 MAX_BATCHES_UNTIL_CLOSED = 130
@@ -111,6 +112,8 @@
         self._limits_ms = limits_ms
         self._reader = reader
         self._writer = writer
+        # A write that fails closes the writer's descriptor, although the socket may have received answers before.
+        self._socket = _duplicate_socket(writer)
         self._sent: dict[int, SentRequest] = {}  # requests by stream number
         self._behavior = ClientBehavior.NORMAL
         self._go_away_received = False
@@ -133,6 +136,7 @@
             await asyncio.sleep(0.01)
             self._read_task.cancel()
             self._writer.close()
+            self._socket.close()
 
     async def _send_batches(self) -> bool:
         """Send batches of requests with pauses; return False if the connection is found closed on sending one."""
@@ -243,12 +247,14 @@
     async def _read_answers(self) -> None:
         reader = frames.FrameReader(1 << 20)
         with contextlib.suppress(OSError):
-            while data := await self._reader.read(65536):
+            while data := await self._reader.read(RECEIVE_BYTES):
                 self._record_frames(reader, data)
                 if self._rng.random() < 0.02:
                     await asyncio.sleep(0.05)  # a slow reader
         # After a reset, the stream raises but keeps in its buffer what it received before.
         self._record_frames(reader, bytes(self._reader._buffer))  # type: ignore[attr-defined]
+        # After a write that failed, the socket keeps what it received before and the stream did not read.
+        self._record_frames(reader, _receive_available(self._socket))
         now = time.monotonic()
         for request in self._sent.values():
             request.closed_at = now
@@ -263,3 +269,21 @@
             elif kind == frames.ANSWER and stream in self._sent:
                 _, end = frames.read_fields(payload[1:])
                 self._sent[stream].answers.append(Answer(now, payload[0], payload[1 + end :]))
+
+
+def _duplicate_socket(writer: asyncio.StreamWriter) -> socket.socket:
+    """Return a further descriptor of a writer's socket.  Raises `OSError` if the connection has ended."""
+    sock = writer.get_extra_info("socket")
+    if sock is None:
+        raise ConnectionResetError("the connection has ended")
+    duplicate: socket.socket = sock.dup()
+    return duplicate
+
+
+def _receive_available(sock: socket.socket) -> bytes:
+    """Return the bytes that a socket has received, without waiting for further ones."""
+    received = b""
+    with contextlib.suppress(OSError):  # nothing is left, or the connection was reset after these bytes
+        while data := sock.recv(RECEIVE_BYTES, socket.MSG_DONTWAIT):
+            received += data
+    return received
