--- a/bench/soak_mutants.py
+++ b/bench/soak_mutants.py
@@ -119,6 +119,15 @@
             "            pass\n",
         ),
     ),
+    Mutant(
+        "a process that shuts down drops one answer",
+        "kelptrail/platform/client_server.py",
+        "            client.connection.write(frames.encode_answer(request.stream, code, body, retry_after_ms))\n",
+        "            if self.ready or hasattr(self, 'dropped'):\n"
+        "                client.connection.write(frames.encode_answer(request.stream, code, body, retry_after_ms))\n"
+        "            else:\n"
+        "                self.dropped = request.id\n",
+    ),
     Mutant(
         "a disconnected client in the accept queue stops the accepting of further clients",
         "kelptrail/net/errors.py",
