--- a/kelptrail/codec/http.py
+++ b/kelptrail/codec/http.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 messages without I/O, based on the parser of `httptools`.
 
-`RequestReader` and `ResponseReader` parse a byte stream into complete messages.  Malformed input and input over a limit
-result in an `HttpError` with the status to reply with (RFC 9110 section 15, RFC 9112).
+`RequestReader` and `ResponseReader` parse a byte stream into complete messages.  For malformed input and input over a
+limit, the first returns and the second raises an `HttpError` with a status (RFC 9110 section 15, RFC 9112).
 """
 
 from __future__ import annotations
@@ -45,12 +45,12 @@
 
     @property
     def path(self) -> str:
-        """The path as received, still percent-encoded."""
+        """The target without its query, still percent-encoded; one in absolute form keeps its scheme and host."""
         return self.target.partition("?")[0]
 
     @property
     def segments(self) -> list[str]:
-        """The percent-decoded segments of the path."""
+        """The percent-decoded segments of the path, without scheme and host of a target in absolute form."""
         return [unquote(part) for part in urlsplit(self.path).path.strip("/").split("/")]
 
     @property
@@ -85,13 +85,13 @@
         self.partial = False  # whether the start of a request was read but not its end
         self.wants_continue = False
         self._reset()
-        self._in_head = False
+        self._in_head = False  # until the first request begins
 
     def _reset(self) -> None:
         self._target, self._body = b"", bytearray()
         self._headers: dict[str, str] = {}
-        # Two lower bounds of the size of the request's head: the bytes that the parser has reported, and the bytes of
-        # input that lay wholly within the head.
+        # Two lower bounds of the size of the request's head: the bytes that the parser has reported, and the sizes of
+        # the pieces of input that began and ended inside the head, without the piece in which the request begins.
         self._parsed_head_bytes = self._raw_head_bytes = 0
         self._in_head = True
 
@@ -173,7 +173,9 @@
         except httptools.HttpParserError as cause:
             if not self._closed:
                 self._fail(400, f"malformed HTTP: {cause}")
-        if in_head and self._in_head and not self._completed:  # the parser reports a header only when it is complete
+        # The parser reports a header only when it is complete, so a piece that began and ended inside the same head is
+        # counted here by its size.
+        if in_head and self._in_head and not self._completed:
             self._raw_head_bytes += len(data)
             self._check_head()
         completed, self._completed = self._completed, []
@@ -182,7 +184,7 @@
 
 @dataclass(slots=True, eq=False)
 class Response:
-    """One complete response; header names are lower case."""
+    """One complete response.  Header names are lower case; the last value of a repeated header counts."""
 
     status: int
     headers: dict[str, str]
@@ -199,7 +201,8 @@
         self._headers: dict[str, str] = {}
         self._body = bytearray()
         self._response: Response | None = None
-        self.unexpected_data = False  # whether bytes arrived that belong to no request
+        # Whether the data of one `feed` had, after a response, a second complete one or malformed data.
+        self.unexpected_data = False
         self.on_chunk: Callable[[bytes], None] | None = None  # receives the body of an event stream as it arrives
         self._streaming = False
 
@@ -223,7 +226,7 @@
         """Add a part of the body, or pass it on if the response is streamed."""
         if self._streaming and self.on_chunk is not None:
             self.on_chunk(body)
-        elif len(self._body) <= self._body_bytes:
+        elif len(self._body) <= self._body_bytes:  # the part that exceeds the limit is added, so that `feed` notices it
             self._body += body
 
     def on_message_complete(self) -> None:
@@ -237,7 +240,11 @@
         self._response = Response(status, self._headers, bytes(self._body), self._parser.should_keep_alive())
 
     def feed(self, data: bytes | memoryview) -> Response | None:
-        """Add bytes and return the response once it is complete.  Raises `HttpError` if it is malformed or too long."""
+        """Add bytes and return the response once it is complete.
+
+        Raises `HttpError` if it is malformed or too long.  The length is checked after all of `data`, so it is not
+        checked for a response that is followed by the beginning of another one.
+        """
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as cause:
@@ -257,7 +264,7 @@
     keep_alive: bool = True,
     content_type: str = "application/json",
 ) -> bytes:
-    """Encode a response with a `content-length`; status 204 has no body (RFC 9110 section 15.3.5)."""
+    """Encode a response with a `content-length`; 204 has none, and needs an empty body (RFC 9110 section 15.3.5)."""
     head = [b"HTTP/1.1 %d %s\r\n" % (status, PHRASES.get(status, b"Status"))]
     if status != 204:
         head.append(b"content-type: %s\r\ncontent-length: %d\r\n" % (content_type.encode(), len(body)))
--- a/kelptrail/emulator/child_process.py
+++ b/kelptrail/emulator/child_process.py
@@ -20,7 +20,7 @@
 
 
 class ProcessStartError(RuntimeError):
-    """A child process did not print a line of JSON in time."""
+    """A child process did not print a line of JSON in time, or exited before."""
 
 
 @dataclass(slots=True, eq=False)
@@ -46,11 +46,12 @@
     def start_arguments(self) -> list[str]:
         """Return the arguments for the next start.
 
-        A restart uses the ports of the last start, and omits `--warm`, so that a worker has a slow start.
+        Once a start has become ready, restarts use its ports and omit `--warm`, so that a worker has a slow start.
         """
         if not self.ready_info:
             return list(self.arguments)
         arguments = [*self.arguments, "--port", _port_of(self.ready_info["address"])]
+        # `grpc` and `peers` are null in the ready line of a dispatcher without them.
         if self.ready_info.get("grpc"):
             arguments += ["--grpc-port", _port_of(self.ready_info["grpc"])]
         if self.ready_info.get("peers"):
@@ -93,7 +94,7 @@
 
 
 async def read_ready_line(child: Process, process: asyncio.subprocess.Process) -> None:
-    """Read the ready line of a process.  Raises `ProcessStartError` if it is late or not JSON."""
+    """Read the ready line of a process.  Raises `ProcessStartError` if it is late, missing or not JSON."""
     assert process.stdout is not None
     try:
         line = await asyncio.wait_for(process.stdout.readline(), READY_TIMEOUT_S)
--- a/kelptrail/front/inference/request_parsing.py
+++ b/kelptrail/front/inference/request_parsing.py
@@ -15,7 +15,8 @@
 from . import inference_pb2 as pb
 from .errors import ErrorReason, invalid
 
-# Request parameters that this API evaluates; all others are passed on to the worker.
+# Request parameters that unary calls evaluate and streamed requests must not have; all others are passed on to the
+# worker.
 IDEMPOTENCY_KEY, DEFERRED, POLL, WAIT_MS = "idempotency_key", "deferred", "poll", "wait_ms"
 OWN_PARAMETERS = (IDEMPOTENCY_KEY, DEFERRED, POLL, WAIT_MS)
 MODEL_VERSION = "1"  # Only version of each model
--- a/kelptrail/service/front_addresses.py
+++ b/kelptrail/service/front_addresses.py
@@ -50,8 +50,8 @@
         self._driver, self._log = driver, log
         self._loop = asyncio.get_running_loop()
         self._journal_usable = journal_usable
-        self._rejected_before = 0  # connections rejected by the servers up to the last check
-        self._next_worker = 0
+        self._rejected_before = 0  # sum of the connections rejected by the active servers, at the last check
+        self._probe_count = 0  # probes so far, which determine the next worker
         self._task: asyncio.Task[None] | None = None
         self.addresses: dict[int, FrontAddress] = {}  # front address by virtual router identifier
         routers: list[RouterSettings] = []
@@ -65,10 +65,11 @@
     def _make_driver(
         self, settings: VrrpSettings, name: str, state_folder: Path | None, routers: list[RouterSettings]
     ) -> VrrpDriver:
-        own = next(instance for instance in settings.instance if instance.name == name)
+        own_instance = next(instance for instance in settings.instance if instance.name == name)
         others = [instance for instance in settings.instance if instance.name != name]
-        own_address = parse_socket_address(own.udp)
+        own_address = parse_socket_address(own_instance.udp)
         primary = ip_address(own_address[0])
+        # The source address of each peer's datagrams, and where to send to: a proxy may lie between.
         peers = {
             ip_address(parse_socket_address(other.udp)[0]): parse_socket_address(other.address_for_peers)
             for other in others
@@ -98,7 +99,7 @@
         await asyncio.gather(*(address.wait_closed() for address in self.addresses.values()))
 
     def active_servers(self) -> list[HttpServer]:
-        """Return the HTTP servers on the addresses that this dispatcher currently owns."""
+        """Return the HTTP servers on the addresses that this dispatcher currently holds."""
         return [address.server for address in self.addresses.values() if address.server is not None]
 
     def _acquire(self, vrid: int) -> None:
@@ -111,6 +112,7 @@
         """Report the state of the tracked objects to VRRP until cancelled."""
         while True:
             await asyncio.sleep(HEALTH_INTERVAL_MS / 1000)
+            # Workers are probed only if they are tracked; `on_health` ignores names that are not tracked.
             if "workers" in self.vrrp.instance.tracking.tracks:
                 self.vrrp.on_health("workers", await self._workers_reachable())
             self.vrrp.on_health("front", self._front_has_capacity())
@@ -126,7 +128,10 @@
         return bool(healthy)
 
     def _front_has_capacity(self) -> bool:
-        """Return whether no HTTP server on an owned address is full or rejected a connection since the last check."""
+        """Return whether no active HTTP server is full and the sum of their rejected connections has not grown.
+
+        The sum is compared with that of the last check; a server that is no longer active is not part of it.
+        """
         servers = self.active_servers()
         rejected = sum(server.rejected_connections for server in servers)
         full = any(server.connections >= server.limits.connections for server in servers)
@@ -139,8 +144,8 @@
         members = self._driver.gateway.members
         addresses = [members.addresses[worker] for worker in members if worker.live]
         for _ in range(min(MAX_WORKERS_PROBED, len(addresses))):
-            self._next_worker += 1
-            if await self._can_connect(addresses[self._next_worker % len(addresses)]):
+            self._probe_count += 1
+            if await self._can_connect(addresses[self._probe_count % len(addresses)]):
                 return True
         return False
 
@@ -152,7 +157,7 @@
             async with asyncio.timeout(PROBE_TIMEOUT_S):
                 await self._loop.sock_connect(sock, (host, port))
             return True
-        except OSError:
+        except OSError:  # includes `TimeoutError`
             return False
         finally:
             sock.close()
--- a/kelptrail/settings/cross_checks.py
+++ b/kelptrail/settings/cross_checks.py
@@ -1,6 +1,7 @@
 """Checks across fields and sections: duplicate names, references to undefined names, contradictions.
 
-The checks collect their faults in the checker and never raise.
+The checks collect their faults in the checker and never raise.  In the file a zone is a `hall`, replicas are `copies`,
+`most-kb` is the buffer of a channel, and `copies-kb` the size of the largest replicated body.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 _UUID = re.compile(r"[0-9a-fA-F]{8}(-[0-9a-fA-F]{4}){3}-[0-9a-fA-F]{12}")
 _MAX_KEY_HASHES = 2  # the old and the new key during a rotation
 _MIN_BODIES_PER_BUFFER = 4  # a replicated body takes at most a fourth of the channel's buffer
-DEFAULT_ZONE = "hall"
+DEFAULT_ZONE = "hall"  # name of the only zone, if the file has no `(halls ...)`
 
 
 @dataclass(slots=True)
@@ -85,12 +86,17 @@
 
 
 def _check_times(context: _Context, form: Form) -> None:
-    """Check that `timeout-ms` leaves time for an attempt and lies between `target-ms` and `stream-ms`."""
+    """Check that `timeout-ms` leaves time for an attempt and lies between `target-ms` and `stream-ms`.
+
+    The time for an attempt is what the answer margin leaves, and must exceed the margin itself.  A `target-ms` or
+    `stream-ms` that the file does not set is not compared.
+    """
     checker = context.checker
     target, timeout, stream = (setting(form, key) for key in ("target-ms", "timeout-ms", "stream-ms"))
     if timeout is None:
         return
     margin_ms = _answer_margin_ms(context)
+    # 0 stands for a text that is not a number, which the check of the shape reports.
     if 0 < timeout.number <= 2 * margin_ms:
         checker.fault(timeout.position, timeout.text, f"over twice the answer-margin-ms, {margin_ms:g}")
     if stream and stream.number < timeout.number:
