--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -73,7 +73,7 @@
     assert reader.feed(b"GET /3 HTTP/1.1\r\n\r\n") == ([], None)
 
 
-def test_interim_extra_and_malformed_responses() -> None:
+def test_interim_responses_are_skipped_extra_ones_noticed_and_invalid_ones_refused() -> None:
     reader = ResponseReader(100)
     assert reader.feed(b"HTTP/1.1 102 Processing\r\n\r\n") is None
     data = encode_response(200, b"{}", {"a": "b"})
@@ -99,6 +99,7 @@
     assert request.segments == ["v2", "models", "m 1", "infer"]
     infer, payload = read_infer(request.body)
     assert infer.id == "mark" and payload == '{"ñ": 1}' and infer.parameters == {"send": 0}
+    # `found` and `company` become the two fields below; the report keeps the other metrics.
     report = write_report(0.5, x1=2, x0=0.25, found=1, company=3)
     parsed = read_answer(
         respond(200, infer_answer("m 1", "mark", payload, True), {"endpoint-load-metrics": report}), "mark"
@@ -122,14 +123,14 @@
         (503, b"{}", {}, "error"),  # a rejection without the header proves nothing
         (503, b"{}", {"never-ran": "full"}, "full"),
         (404, b"{}", {"never-ran": "miss"}, "miss"),
-        (404, b"{}", {"never-ran": "full"}, "error"),
+        (404, b"{}", {"never-ran": "full"}, "error"),  # the header does not match the status
     ],
 )
 def test_only_a_rejection_with_the_header_proves_that_the_attempt_never_ran(status, body, headers, kind) -> None:
     assert read_answer(respond(status, body, headers), "mark").kind == kind
 
 
-def test_malformed_fields_of_load_reports_are_skipped() -> None:
+def test_malformed_fields_of_load_reports_are_skipped_and_malformed_load_orders_refused() -> None:
     assert read_load_report("TEXT cpu_utilization=0.4, named_metrics.x1=z, x=nan, eps=1") == {"util": 0.4, "eps": 1.0}
     assert read_load_report("JSON {}") is None and read_load_report(None) is None
     for body in (b"{", b'{"parameters":{"copies":17}}', b'{"parameters":{"copies":true}}'):
@@ -146,5 +147,6 @@
         assert error is None
     assert count == 400
     reader.feed(b"GET / HTTP/1.1\r\nx: ")
+    # Three of these pieces are within the limit of 2,048 bytes, all six exceed it.
     errors = [reader.feed(b"a" * 512)[1] for _ in range(6)]
     assert errors[2] is None and errors[-1] is not None and errors[-1].status == 431
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -98,6 +98,7 @@
             packet = decode_plan(bytes(broken))
         except PlanError:
             continue
+        # A plan that is not refused is in force, or waits for a later endpoint list and is not set.
         if plan_state.on_plan(0.0, packet, LIVE, ENDPOINTS_VERSION) is None and plan_state.plan is not None:
             assert plan_state.plan.instances == second.instances, "an accepted plan is unaltered"
 
@@ -136,6 +137,7 @@
     assert plan_state.target(0.0) == {"m": {"w1": 1}}, "a refused plan changes nothing"
     second, third = plan_of(2, instances={"m": {"w2": 1}}), plan_of(3, instances={"m": {"w3": 1}})
     assert offer(third, base=second) is RefusalReason.BASE
+    # Offered at 100 ms, 400 ms after it was made, as a difference to `first`.
     assert offer(second, 100.0, 400.0, first) is None
     assert plan_state.remaining_ms(100.0) == 9600 and plan_state.target(9700.1) is None, "the plan has expired"
     assert offer(plan_of(1, epoch=1, owner="q")) is None, "within one epoch the greater owner name is later"
@@ -151,13 +153,13 @@
     assert plan_state.target(700.0) == {"m": {"new": 1}}
     saved = plan_state.plan
     assert saved is not None
-    restarted = PlanState("here")
-    assert not restarted.restore(0.0, saved, 5000.0, LIVE) and restarted.target(0.0) is None, (
+    restarted, remaining_ms = PlanState("here"), 5000.0
+    assert not restarted.restore(0.0, saved, remaining_ms, LIVE) and restarted.target(0.0) is None, (
         "the plan's worker is not live"
     )
     assert restarted.fence == saved.header.order, "a saved plan that is not followed still fences"
-    assert restarted.restore(0.0, saved, 5000.0, LIVE | {"new"}) and restarted.remaining_ms(0.0) == 5000.0
-    assert not PlanState("there").restore(0.0, saved, 5000.0, LIVE | {"new"})
+    assert restarted.restore(0.0, saved, remaining_ms, LIVE | {"new"}) and restarted.remaining_ms(0.0) == remaining_ms
+    assert not PlanState("there").restore(0.0, saved, remaining_ms, LIVE | {"new"})
 
 
 # Placements.
@@ -173,6 +175,7 @@
     ]
     demands = []
     for n in range(models):
+        # The names are drawn from two more workers than `capacities` has.
         loaded = {f"w{w}": 1 for w in rng.choice(workers + 2, min(workers, 2), replace=False) if rng.random() < 0.5}
         demands.append(
             FunctionDemand(
@@ -208,7 +211,10 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_small_placements_are_close_to_the_optimum(seed: int) -> None:
-    """Compare both solvers with the best placement of three functions on three workers, found by brute force."""
+    """Compare both solvers with the best placement of three functions on three workers, found by brute force.
+
+    Only the program is checked to be close to it; the greedy placement is checked not to cost less than the best one.
+    """
     rng = np.random.default_rng(seed)
     capacities = [WorkerCapacity(f"w{n}", 1250.0, 2) for n in range(3)]  # plans may use 1,000 MB
     demands = [
@@ -225,11 +231,11 @@
         for n in range(3)
     ]
     best = float("inf")
-    counts_by_worker = list(itertools.product(range(3), repeat=3))
-    for counts in itertools.product(counts_by_worker, repeat=3):
+    combinations = list(itertools.product(range(3), repeat=3))  # of the instance counts of a function at each worker
+    for counts_by_function in itertools.product(combinations, repeat=3):
         instances = {
-            demand.model: {f"w{worker}": count for worker, count in enumerate(by_worker) if count}
-            for demand, by_worker in zip(demands, counts, strict=True)
+            demand.model: {f"w{worker}": count for worker, count in enumerate(counts) if count}
+            for demand, counts in zip(demands, counts_by_function, strict=True)
         }
         instances = {model: by_worker for model, by_worker in instances.items() if by_worker}
         if all(
@@ -247,9 +253,10 @@
 
 def test_forecast_follows_the_hour_and_is_bounded() -> None:
     demand = Demand()
+    hour_s = 1200  # a shortened hour
     for hour, rate in ((7, 10), (8, 80)):
-        for second in range(1200):
-            now = (hour * 1200 + second) * 1000.0
+        for second in range(hour_s):
+            now = (hour * hour_s + second) * 1000.0
             demand.add_report(now, "e", {"m": FunctionCounters(rate, rate, 0, 0, 0, 0, rate * 50.0)})
             demand.close_window(now, hour)
     assert demand.functions["m"].fast_rate == pytest.approx(80, rel=0.01)
@@ -338,6 +345,7 @@
             for _, name, new_epoch in [notification for notification in lease_notifications if notification[0] <= now]:
                 if new_epoch:
                     planners[name].on_lease_acquired(now, new_epoch, name)
+                # A late notification is dropped if its planner holds the lease again or no longer leads.
                 elif planners[name].epoch < epoch and planners[name].role is Role.LEADER and name != lease_holder:
                     planners[name].on_lease_lost()
             lease_notifications = [notification for notification in lease_notifications if notification[0] > now]
@@ -401,7 +409,7 @@
             continue
 
 
-def test_slow_edge_gets_only_the_latest_plan_and_reports_changes() -> None:
+def test_slow_edge_skips_plans_up_to_the_latest_and_reports_loaded_instances() -> None:
     planner_channel, plan_state, leader_contact = PlannerChannel("p", "here"), PlanState("here"), LeaderContact(0.0)
     edge, edge_reader = EdgeChannel("e", "here", plan_state, leader_contact, 0.0), FrameReader(MESSAGE_DECODER)
     planner_reader = FrameReader(MESSAGE_DECODER)
@@ -426,6 +434,7 @@
     )
     assert plan_state.accepted == 2 and leader_contact.silent_ms(2.0) == 0.0
     for loaded in ({"a": {"w1": 2}}, {"a": {"w1": 1}, "b": {"w2": 1}}, {"b": {"w2": 1}}):
+        # Of the two queue depths, 4 and 2, the report has the later one; the other counters are summed.
         edge.add_counters({"a": FunctionCounters(1, 1, 0, 0, 0, 4, 5.0)})
         edge.add_counters({"a": FunctionCounters(2, 1, 0, 0, 0, 2, 5.0)})
         edge.queue_report(3.0, loaded)
@@ -480,7 +489,7 @@
     assert len(ordered) >= 3, "more orders are allowed after the window of the ration"
 
 
-def test_planned_instances_are_kept_while_planned() -> None:
+def test_a_plan_causes_more_load_orders_at_the_planned_worker() -> None:
     def run_dispatcher(plan: bool) -> list[tuple[float, str, int]]:
         dispatcher = make_dispatcher(4, load_ration=LoadRation(True, 999.0, 0.0, 10_000.0))
         function, load_orders = make_function(concurrency=2), list[tuple[float, str, int]]()
@@ -509,11 +518,12 @@
     assert sum(w == planned_worker and t < 30_000 for t, w, _ in with_plan) > sum(
         w == planned_worker and t < 30_000 for t, w, _ in without_plan
     )
+    # The run is deterministic, so the plan makes the difference.
     assert run_dispatcher(False) == without_plan
 
 
 def test_loads_for_queued_requests_go_to_planned_workers_first() -> None:
-    """Guards against dispatchers that each load additional instances of their own after a release."""
+    """Guards against dispatchers that each load additional instances of their own after new models are released."""
     function, dispatcher = (
         make_function(concurrency=1),
         make_dispatcher(8, load_ration=LoadRation(True, 999.0, 0.0, 10_000.0)),
@@ -522,13 +532,13 @@
     first_worker = next(d for d in decide_all(dispatcher, 0.0) if isinstance(d, LoadOrder)).instance.worker
     planned = [w for w in dispatcher.workers if w is not first_worker][-2:]
     dispatcher.on_plan({function: dict.fromkeys(planned, 1)})
-    orders: list[Worker] = []
+    workers: list[Worker] = []
     for step in range(60):  # without ticks, so that only queued requests cause loads
         now = 30.0 * step
         dispatcher.on_request(now, new_request(function, now, step + 1, 60_000.0))
-        orders += [d.instance.worker for d in decide_all(dispatcher, now) if isinstance(d, LoadOrder)]
-    assert set(orders[:2]) == set(planned) and len(orders) > 2
-    assert not set(orders[2:]) & set(planned), "after one order for each planned worker, orders go to other workers"
+        workers += [d.instance.worker for d in decide_all(dispatcher, now) if isinstance(d, LoadOrder)]
+    assert set(workers[:2]) == set(planned) and len(workers) > 2
+    assert not set(workers[2:]) & set(planned), "after one order for each planned worker, orders go to other workers"
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -536,7 +546,8 @@
     """With random plans, draining workers, attempts that find no instance and failed loads, the load ration is not
     exceeded, and no order or attempt goes to a worker that is not live."""
     rng = random.Random(seed)
-    dispatcher = make_dispatcher(10, load_ration=LoadRation(True, 5.0, 0.3, 5000.0))
+    free_loads, loads_per_request, window_ms = 5.0, 0.3, 5000.0
+    dispatcher = make_dispatcher(10, load_ration=LoadRation(True, free_loads, loads_per_request, window_ms))
     functions = [make_function(f"f{n}", concurrency=2) for n in range(6)]
     requested_at, ordered_at, now, number = list[float](), list[float](), 0.0, 0
     while now < 30_000:
@@ -563,8 +574,8 @@
                 assert decision.instance.worker.live
                 if decision.count:
                     ordered_at.append(now)
-                    ration = 5.0 + 0.3 * sum(t > now - 5000 for t in requested_at)
-                    assert sum(t > now - 5000 for t in ordered_at) <= ration + 1e-9
+                    ration = free_loads + loads_per_request * sum(t > now - window_ms for t in requested_at)
+                    assert sum(t > now - window_ms for t in ordered_at) <= ration + 1e-9
                 outcome = rng.choice(
                     [AttemptStatus.COMPLETED] * 4
                     + [AttemptStatus.OUT_OF_CAPACITY, AttemptStatus.ERROR, AttemptStatus.SILENT]
--- a/tests/test_wire_fixtures.py
+++ b/tests/test_wire_fixtures.py
@@ -123,6 +123,7 @@
     """A framed message is decoded to its recorded values, in order, and encoded to the same bytes."""
     fixture = CHANNEL["messages"][name]
     kinds = channel_kinds()
+    # `decoder` adds `hello` and `beat` to the other kinds.
     extra_kinds = [kind for tag, kind in kinds.items() if tag not in ("hello", "beat")]
     data = bytes.fromhex(fixture["frame"])
     reader = peer_messages.FrameReader(peer_messages.decoder(*extra_kinds))
@@ -143,9 +144,10 @@
 
 @pytest.mark.parametrize("name", CHANNEL["plans"])
 def test_plan_keeps_its_bytes(name: str) -> None:
-    """A compressed plan, complete or as a difference, is decoded to its recorded values and encoded to the same bytes.
+    """A compressed plan, complete or as a difference, is decoded to its recorded values; its MessagePack is the same.
 
-    Encoded plans are compared after decompression, because the output of the compressor may differ between releases.
+    `encode_plan` is checked for complete plans.  They are compared after decompression, because the output of the
+    compressor may differ between releases.
     """
     fixture = CHANNEL["plans"][name]
     packet = plan.decode_plan(bytes.fromhex(fixture["packed"]))
@@ -214,8 +216,8 @@
 def test_settings_of_an_example_keep_their_values(file: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """A deployment, fault scenario or experiment is read as the same values in the same order.
 
-    So a changed key, default or unit fails.  In the fixture, `values` has all values, and `parts` a digest of each
-    field of the outermost form.
+    So a changed key, default or unit fails.  In the fixture, `parts` has a digest of each field of the outermost form;
+    some examples also have `values`, all values.
     """
     monkeypatch.chdir(ROOT)
     values = to_json_types(READERS[Path(file).parent.name](file))
@@ -227,7 +229,8 @@
 # Protocols of the platform and of the workers, HTTP and VRRP.
 
 BYTES: dict[str, Any] = load_fixture("bytes")
-SETTINGS_KEYS = {section: keys for section, keys in BYTES["experiments"].items() if section != "no-such"}
+# The error for an unknown key of each section, which lists the keys of the section.
+UNKNOWN_KEY_ERRORS = {section: text for section, text in BYTES["experiments"].items() if section != "no-such"}
 FUNCTION = "7f3a9c21e0b4d655"
 V4 = ip_address("192.0.2.1"), ip_address("224.0.0.18")  # source and destination of a VRRP packet
 V6 = ip_address("fe80::1"), ip_address("ff02::12")
@@ -235,7 +238,11 @@
 
 
 def finished_record(answer: str, code: int, **options: Any) -> Any:
-    """Return a record with a final answer.  `by_index` has values of further fields, by the index of the field."""
+    """Return a record with a final answer.
+
+    The only option is `by_index`: values of further fields, by the index of the field.  Indexes set here: 9 `end`, 10
+    `answer`, 11 `code`, 12 `result`.
+    """
     record = Record("0a" * 16, "guest", "pack/act", "check", "repeatable", 1700000000123.0, 5.0, 9000.0, "00-aa-bb-01")
     end_ms = 1700000000456.0
     names = [field.name for field in dataclasses.fields(record)]
@@ -318,8 +325,8 @@
 def test_encoded_samples_keep_their_bytes(name: str) -> None:
     """The same values are encoded to the same bytes.
 
-    Covers lines to the platform's workers, frames to its clients, HTTP, the workers' inference protocol, VRRP with and
-    without authentication, and the bodies of the invoke API.
+    Covers lines to the platform's workers, frames from and to its clients, the poll of its endpoint list, HTTP, event
+    streams, the workers' inference protocol, VRRP with and without authentication, and the bodies of the invoke API.
     """
     assert encoded_samples()[name].hex() == BYTES["written"][name]
 
@@ -385,8 +392,8 @@
 def test_recorded_bytes_are_decoded_to_the_same_values(number: int) -> None:
     """The same bytes are decoded to the same values.
 
-    Covers answers of the platform's workers, frames of its clients, events of its endpoint list, HTTP, the inference
-    protocol, VRRP and the JSON of the endpoint list.
+    Covers answers of the platform's workers, frames of its clients, events of its endpoint list, event streams, HTTP,
+    the inference protocol, VRRP and the JSON of the endpoint list.
     """
     sample = BYTES["read"][number]
     assert json_text(decode(sample["kind"], bytes.fromhex(sample["bytes"]))) == json_text(sample["values"])
@@ -405,7 +412,7 @@
     tenants = {tenant.name: tenant for tenant in settings.tenants}
     rules = RequestRules(request_classes, tenants, config.sockets.max_timeout_ms, config.sockets.max_function_mb)
     request = ParsedRequest(fixture["fields"], rules)
-    values = []
+    values = []  # without the names of the slots, which may change
     for slot in type(request).__slots__:
         value = getattr(request, slot)
         values.append(value.name if hasattr(value, "name") else value)
@@ -415,7 +422,7 @@
 def test_platform_settings_keep_their_values() -> None:
     """Keys and units of the platform's JSON configuration give the same values in the same order.
 
-    This includes the settings object, which the simulator sends, too.
+    This includes the settings object, which the simulator also sends.
     """
     fixture = BYTES["config"]
     config = platform_config.parse(json.dumps(fixture["told"]))
@@ -438,7 +445,7 @@
 
 
 def test_keys_of_experiments_keep_their_names() -> None:
-    """`(set SECTION.KEY VALUE)` accepts the same sections and keys.
+    """The errors of `(set SECTION.KEY VALUE)` for an unknown section or key list the same sections and keys.
 
     Keys are derived from field names, so a renamed field must keep its key.
     """
@@ -446,7 +453,7 @@
     scenario_deployment = deployment.load(scenario.deployment)
     position = SourcePosition("x", 1, 1)
     messages = {}
-    for section in ("no-such", *SETTINGS_KEYS):
+    for section in ("no-such", *UNKNOWN_KEY_ERRORS):
         with pytest.raises(ValueError) as error:
             experiment.apply_changes(
                 scenario,
@@ -455,11 +462,11 @@
                 [experiment.Change(section, "no-such", 1.0, position)],
             )
         messages[section] = str(error.value)
-    assert messages == {"no-such": BYTES["experiments"]["no-such"], **SETTINGS_KEYS}
+    assert messages == {"no-such": BYTES["experiments"]["no-such"], **UNKNOWN_KEY_ERRORS}
 
 
 def test_deploy_file_keeps_its_keys() -> None:
-    """`deploy/balancer.toml` has the same keys, and the files and modules that it names exist."""
+    """`deploy/balancer.toml` has the same keys with the same types, and the files and modules that it names exist."""
     config = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
     assert {key: type(value).__name__ for key, value in config.items()} == BYTES["deploy"]
     assert all((ROOT / path).exists() for path in [*config["policy"], *config["node"]])
@@ -473,7 +480,7 @@
 
 
 def dict_literal_keys(words: set[str]) -> Counter[tuple[str, ...]]:
-    """Count the key tuples of dict literals in all source files of the package that have one of `words` as a key."""
+    """Count the tuples of text keys of all dict literals in those source files that have one of `words` as a key."""
     counts: Counter[tuple[str, ...]] = Counter()
     for file in sorted((ROOT / "kelptrail").rglob("*.py")):
         source = file.read_text(encoding="utf-8")
@@ -493,6 +500,7 @@
     Covers `/state`, `/vrrp`, `/leases`, `/copies`, `/usage`, and the answers of the planner and of the emulated
     endpoint service.  Only keys are compared: a key that gets another value is not detected.
     """
+    # The last key of each sequence selects the source files.
     counts = dict_literal_keys({keys[-1] for keys in BYTES["shown"].values()})
     for name, keys in BYTES["shown"].items():
         assert counts[tuple(keys)] >= 1, f"{name}: {keys}"
@@ -503,6 +511,7 @@
     token = lease_messages.FencingToken(9, "d2/r2")
     view = usage_module.UsageView()
     assert view.on_total(usage_module.UsageTotal(token, 73, 3, {"n1": (1.234, 2.5, 3.5)}))
+    # Without `__init__`, which needs leases and peers: `status` only reads `view`.
     driver = usage_module.UsageDriver.__new__(usage_module.UsageDriver)
     driver.view = view
     assert json_text(driver.status()) == json_text(BYTES["usage"])
@@ -568,6 +577,7 @@
     config["settings"]["specifics"]["not_loaded"] = "miss"  # needed for the dispatcher to order loads
     for request_class in config["settings"]["classes"]:
         request_class["give_up_us"] = 20_000_000
+    # In this file, `journal` is the address of the endpoint list.
     config |= {"listen": "127.0.0.1:0", "journal": f"127.0.0.1:{list_server.sockets[0].getsockname()[1]}"}
     service = Service(asyncio.get_running_loop(), platform_config.parse(json.dumps(config)))
     reader, writer = await asyncio.open_connection("127.0.0.1", service.open())
@@ -594,7 +604,7 @@
     writer.write(frames.encode_frame(frames.CANCEL, 6))
     await call_cancelled.wait()
     service.shut_down()
-    await send_until_answered(b"")
+    await send_until_answered(b"")  # sends nothing; reads the GO_AWAY frame
     writer.close()
     service.close()
     worker_server.close()
@@ -662,8 +672,9 @@
     client.close()
     service.server.stop_listening()
     listed["lineage"] = "..."
+    registered_age_ms = 1000  # as in the fixture's `told_to_list`
     for worker in listed["workers"]:
-        assert 1000 <= worker["age_ms"] < 20_000
+        assert registered_age_ms <= worker["age_ms"] < 20_000
         worker["age_ms"] = 0
     return listed
 
