--- a/kelptrail/background/driver.py
+++ b/kelptrail/background/driver.py
@@ -31,7 +31,11 @@
         share: float = 0.05,
         first_delay_ms: float | None = None,
     ) -> None:
-        """Add a job; see `Job`.  A step that returns None is a complete run."""
+        """Add a job; see `Job` for the parameters that it has too.
+
+        `first_delay_ms`: time until a periodic job is first due; None: its interval.  A step that returns None ends
+        the run, as one that returns False.
+        """
         self.scheduler.add(
             self._now(), Job(name, lambda: bool(step()), priority, interval_ms, max_wait_ms, share), first_delay_ms
         )
--- a/kelptrail/lease/acceptor_store.py
+++ b/kelptrail/lease/acceptor_store.py
@@ -1,7 +1,8 @@
 """Store of an acceptor's durable state: an SQLite database in WAL mode, in which every commit is synced.
 
 A single row that does not match its checksum or cannot be decoded makes the complete file unusable, because the grants
-that were lost with it are unknown.  Such a file is renamed, and the acceptor starts without durable state.
+that were lost with it are unknown.  Such a file is renamed, and the acceptor starts without durable state.  An unknown
+stage in an intact row is an error that leaves the file in place.
 """
 
 from __future__ import annotations
@@ -59,10 +60,10 @@
     def read(self) -> AcceptorContents:
         """Read the complete contents.  Raises `JournalError` if any part is unreadable."""
         state, rows = None, list[LeaseRow]()
-        with journal_errors(msgspec.MsgspecError, ValueError):
+        with journal_errors(msgspec.MsgspecError, ValueError):  # `Stage` raises `ValueError`
             for name, crc, body in self._database.rows("SELECT name, crc, body FROM kept ORDER BY name"):
                 if crc32(body) != crc:
-                    raise JournalError(f"Corrupt: checksum mismatch in row {name!r}")
+                    raise JournalError(f"Corrupt: checksum mismatch in row {name!r}")  # "Corrupt" marks damage
                 if name == STATE_ROW:
                     config_number, stage, sealed_previous = _decode_state(body)
                     state = DurableState(config_number, Stage(stage), sealed_previous)
@@ -82,7 +83,10 @@
             self._database.run_many("INSERT OR REPLACE INTO kept VALUES (?, ?, ?)", rows)
 
     def forget(self, ids: Iterable[str]) -> None:
-        """Do nothing: rows are never deleted, because every new token must exceed all earlier ones."""
+        """Do nothing; `EntryStore` requires the method.
+
+        Rows are never deleted, because every new token must exceed all earlier ones.
+        """
 
     def close(self) -> None:
         """Close the file."""
@@ -96,7 +100,8 @@
 class OpenedAcceptorStore(NamedTuple):
     """An open store and its contents.
 
-    `damage` is the reason why a damaged file was renamed, or empty if none was.
+    `damage` is the reason why the file counts as damaged, or empty.  With damage, `state` is None and `rows` is empty,
+    even if the file could not be renamed and `store` still contains its rows.
     """
 
     store: AcceptorStore
@@ -108,8 +113,9 @@
 def open_acceptor_store(file: Path, vfs: str | None = None) -> OpenedAcceptorStore:
     """Open a store and read it.  A damaged file is renamed and replaced by an empty store.
 
-    Raises `JournalError` after any other error, such as a failing disk or a newer format; the file then stays, as it
-    may be intact.
+    If it cannot be renamed, it is opened again without being read.  Raises `JournalError` if that or the empty store
+    cannot be opened, and after any other error, such as a failing disk, a newer format or an unknown stage; the file
+    then stays, as it may be intact.
     """
     try:
         store = AcceptorStore(file, vfs)
--- a/kelptrail/platform/worker_pool.py
+++ b/kelptrail/platform/worker_pool.py
@@ -12,8 +12,8 @@
 from .worker_connection import WorkerConnectionLimits
 from .worker_connections import OnItemFinished, WorkerConnections
 
-MIN_CONNECTIONS_PER_WORKER = 2
-MAX_ANSWER_BYTES = 8 * frames.MAX_BODY_BYTES
+MIN_CONNECTIONS_PER_WORKER = 2  # smallest value of the limit of connections to one worker
+MAX_ANSWER_BYTES = 8 * frames.MAX_BODY_BYTES  # limit of the body of an answer; `MAX_BODY_BYTES` is that of a request
 
 
 class WorkerPool:
@@ -46,12 +46,12 @@
     @property
     def connection_count(self) -> int:
         """The number of connections to all workers."""
-        return sum(len(connections) for connections in self.connections.values())
+        return sum(len(of_worker) for of_worker in self.connections.values())
 
     @property
     def open_item_count(self) -> int:
         """The number of attempts, loads and probes that are open on connections."""
-        return sum(connections.open_item_count for connections in self.connections.values())
+        return sum(of_worker.open_item_count for of_worker in self.connections.values())
 
     def share_descriptors(self, worker_count: int) -> None:
         """Limit the connections to each worker to an equal share of a quarter of the descriptors, but at least two."""
@@ -72,11 +72,14 @@
         return connections
 
     def drop(self, worker: Worker) -> None:
-        """Close all connections to a worker."""
+        """Close all connections to a worker.  Raises `KeyError` before their first use and after they were dropped."""
         self.connections.pop(worker).close()
 
     def sweep(self) -> None:
-        """Close idle and stalled connections, and drop all connections to removed workers that have no open items."""
+        """Close stalled, suspect and long idle connections, and drop those to removed workers that have no open items.
+
+        `WorkerConnections.sweep` decides which connections are closed.
+        """
         for worker, connections in list(self.connections.items()):
             connections.sweep()
             if worker.removed and not connections.open_item_count:
--- a/kelptrail/service/fronts.py
+++ b/kelptrail/service/fronts.py
@@ -1,4 +1,7 @@
-"""The client-facing side of a dispatcher: TLS, client authentication, the two APIs, and their servers."""
+"""The client-facing side of a dispatcher: TLS, client authentication, the two APIs, and their servers.
+
+It also makes the TLS of the calls to workers, whose certificate files are reloaded together with those of the fronts.
+"""
 
 from __future__ import annotations
 
@@ -20,9 +23,10 @@
 
 from .build import certificate_reloader, front_limits, grpc_limits
 
-# Names of the TLS sides in logs and in the responses of the control port.
+# Names of the certificate reloaders in the responses of the control port.
 HTTP, GRPC, TO_WORKERS = "front", "grpc", "to-workers"
-TLS_SIDES = (  # name, side in the settings, ALPN protocols
+# Name of the reloader, side in the TLS settings, and ALPN protocols.  Both fronts use the TLS settings of "front".
+RELOADERS = (
     (HTTP, "front", ["http/1.1"]),
     (GRPC, "front", ["h2"]),
     (TO_WORKERS, "to-workers", ["http/1.1"]),
@@ -30,16 +34,23 @@
 
 
 def certificate_reloaders(deployment: Deployment, log: Any) -> dict[str, CertificateReloader]:
-    """Return a reloader, by name, for each TLS side in the settings.  Raises `ValueError` if its files are unusable."""
+    """Return, by name, each of `RELOADERS` whose side has TLS settings.
+
+    Raises `ValueError` if the certificate files are unusable.
+    """
     return {
         name: reloader
-        for name, side, protocols in TLS_SIDES
+        for name, side, protocols in RELOADERS
         if (reloader := certificate_reloader(deployment, side, protocols, log)) is not None
     }
 
 
 class Fronts:
-    """The HTTP front and the gRPC front of a dispatcher; creates further servers of either kind for front addresses."""
+    """The HTTP front and the gRPC front of a dispatcher; creates further servers of either kind for front addresses.
+
+    The constructor also sets the TLS of the calls to workers in `driver`.  `boot` begins all activation ids of this
+    run; the retry times of rejected connections vary with it.
+    """
 
     def __init__(self, deployment: Deployment, driver: GatewayDriver, boot: str, log: Any) -> None:
         self._deployment, self._gateway, self._log = deployment, driver.gateway, log
--- a/kelptrail/simulator_adapter/instance.py
+++ b/kelptrail/simulator_adapter/instance.py
@@ -2,8 +2,10 @@
 
 The protocol's field names: `i` is the dispatcher, `handle` the request id, `shot` the number of the attempt, `ending`
 the status of an attempt, load or health check, `runner` the worker, `fn` the function, `copies` the number of
-instances, `project` the tenant, `grace_us` the timeout, `cost_guess_us` the estimated work and `stats` the load report.
-In an endpoint list `az` is the zone, `shape` the kind, `stripe` the cell and `capacity_hint` the size.
+instances, `project` the tenant, `parallel` the number of slots of one instance, `grace_us` the timeout and
+`cost_guess_us` the estimated work.  In the answer to an attempt `done_flag` tells whether the request needs no other
+attempt, and `stats` is the load report.  In an endpoint list `az` is the zone, `shape` the kind, `stripe` the cell,
+`readiness` the worker's state and `capacity_hint` the size.
 """
 
 from __future__ import annotations
@@ -44,7 +46,7 @@
     "M": AttemptStatus.NOT_LOADED,
 }
 DISCOVERY_BY_SUBSCRIPTION = "ask"  # changes of the endpoint list are sent only after a `Track` action
-SUBSCRIBE_PAUSE_MS = 1_000.0  # minimum time between two subscriptions to the endpoint list
+SUBSCRIBE_PAUSE_MS = 1_000.0  # minimum time between two subscriptions to the endpoint list that ticks start
 TICK_TOKEN, DUE_TOKEN = "beat", "due"  # the simulator returns the token of an alarm unchanged
 
 # The `remark` of an answer has the reason of its status in the lowest three bits, and the number of attempts of other
@@ -55,7 +57,10 @@
 
 
 def _list_timing(settings: Fields) -> EndpointListTiming:
-    """Return the notification times of the endpoint list, which apply only if it has to be subscribed to."""
+    """Return the notification times of the endpoint list, which apply only if it has to be subscribed to.
+
+    `ask_within_us` is used for both times.  Without it the list is treated as one that is pushed.
+    """
     within_us = settings.get("rules", {}).get("ask_within_us")
     if settings.get("discovery") != DISCOVERY_BY_SUBSCRIPTION or not within_us:
         return PUSHED_LIST
@@ -72,8 +77,8 @@
         self._orders: dict[tuple[str, str], deque[LoadOrder | ReadinessProbe]] = {}
         self._health_checks: dict[str, deque[ReadinessProbe]] = {}  # in flight, by worker id, oldest first
         self._subscription: list[Fields] = []  # the pending `Track` action, if there is one
-        self._is_subscribed, self._subscribe_at = False, 0.0  # `_subscribe_at`: earliest time to subscribe again
-        self._next_alarm: float | None = None  # time of the alarm that is set for the engine's next due time
+        self._is_subscribed, self._subscribe_at = False, 0.0  # the latter: earliest time at which a tick subscribes
+        self._next_alarm: float | None = None  # time of the last alarm set for a due time; None after one fired
         self._tick_set = False
 
     # Events.
@@ -84,7 +89,7 @@
         arrival = RequestArrival(
             event["handle"],
             engine.request_classes[event["class"]],
-            engine.tenants[event["project"] or 0] if engine.tenants else None,
+            engine.tenants[event["project"] or 0] if engine.tenants else None,  # no `project`: the first tenant
             event["fn"],
             event["grace_us"] / 1000,
             event["memory_mb"],
@@ -126,9 +131,9 @@
             request.final_status = request.final_status or FinalStatus.COMPLETED
 
     def on_load_report(self, now: float, event: Fields) -> None:
-        """Record the result of a load order or load query.
+        """Record the result of a load order or load query (not the load report in `stats`).
 
-        Reports for one function and worker arrive in the order in which these were sent.
+        The results for one function and worker arrive in the order in which the orders and queries were sent.
         """
         orders = self._orders.get((event["runner"], event["fn"]))
         if orders:
@@ -183,7 +188,7 @@
         self._subscription = [{"Track": {"i": self._name, "on": True}}]
 
     def on_timer(self, now: float, event: Fields) -> None:
-        """Handle an alarm: the periodic tick, or the engine's due time."""
+        """Handle an alarm: the periodic tick, or the engine's due time, whose decisions `actions` then returns."""
         if event["token"] == TICK_TOKEN:
             self._tick_set = False
             self._engine.on_tick(now)
@@ -233,7 +238,7 @@
             self._health_checks.setdefault(worker.id, deque()).append(probe)
             return {"Poll": {"i": self._name, "runner": worker.id}}
         self._orders.setdefault((worker.id, function.id), deque()).append(probe)
-        return {"StartCopy": {"i": self._name, "runner": worker.id, "fn": function.id, "copies": 0}}
+        return {"StartCopy": {"i": self._name, "runner": worker.id, "fn": function.id, "copies": 0}}  # a load query
 
     def _encode(self, decision: Attempt | LoadOrder | Request | LogMessage) -> Fields:
         if isinstance(decision, str):
