--- a/kelptrail/replication/stream_sender.py
+++ b/kelptrail/replication/stream_sender.py
@@ -1,7 +1,7 @@
 """Creates the messages of a primary, queues them in their streams and sends them as far as the windows allow.
 
-The messages open and close streams, or contain batches, repaired buckets and digest checks.  Sending means that a
-message is put into the outbox.
+Messages that open and close streams are sent at once, which means that they are put into the outbox.  Those with
+batches, repaired buckets and digest checks are queued; they are sent as soon as the window of the stream allows.
 """
 
 from __future__ import annotations
@@ -63,10 +63,13 @@
         self._last_stream_id += 1
         self.outbox.append((dispatcher, OpenStream(self._journal_id, self.token, self._last_stream_id)))
 
-    def close(self, name: str) -> None:
-        """Make a former replica delete its copy."""
+    def close(self, replica: str) -> None:
+        """Make a former replica delete its copy.
+
+        The message needs a new stream id, because the replica ignores one that is not later than its last stream.
+        """
         self._last_stream_id += 1
-        self.outbox.append((name, CloseStream(self._journal_id, self.token, self._last_stream_id)))
+        self.outbox.append((replica, CloseStream(self._journal_id, self.token, self._last_stream_id)))
 
     def resend(self, now: float, stream: ReplicaStream) -> None:
         """Send an unanswered `OpenStream` again, or else the unacknowledged messages that the window allows."""
@@ -78,7 +81,10 @@
             self.send_window(now, stream)
 
     def send_batch(self, now: float, stream: ReplicaStream, batch: Batch) -> None:
-        """Queue the messages of a batch; the batch is complete at the replica with the last one."""
+        """Queue the messages of a batch; the batch is complete at the replica with the last one.
+
+        A part has at most half the window, unless a single entry is larger: two parts may be in flight at once.
+        """
         *parts, last = split_entries(batch.entries, self._settings.window_bytes // 2)
         for part in parts:
             self._queue(now, stream, AppendContent(part))
@@ -87,7 +93,8 @@
     def send_bucket(self, now: float, stream: ReplicaStream, bucket: int, entries: tuple[ReplicaEntry, ...]) -> None:
         """Queue the contents of a bucket, and delay the next bucket according to the repair rate.
 
-        Entries are added before others are deleted, so that an in-sync replica is complete at any time.
+        With the last message the replica deletes all other entries of the bucket.  Entries are added before others are
+        deleted, so that a member of the in-sync set that is repaired after a new opening is complete at any time.
         """
         *parts, last = split_entries(entries, self._settings.window_bytes // 2)
         for part in parts:
@@ -99,9 +106,9 @@
         stream.repair_at = max(stream.repair_at, now) + size_bytes / self._settings.repair_bytes_per_ms
 
     def send_repair_end(self, now: float, stream: ReplicaStream) -> None:
-        """Queue an empty message, then the deferred batches.
+        """Queue an empty message, then the deferred batches.  The acknowledgement of the last message ends the repair.
 
-        The acknowledgement of the empty message shows that the replica has all batches up to `repaired_batch`.
+        That of the empty message shows that the replica has all batches up to `repaired_batch`.
         """
         self._queue(now, stream, AppendContent(), stream.repaired_batch)
         for batch in stream.deferred_batches:
@@ -109,7 +116,7 @@
         stream.deferred_batches, stream.repair_end = [], stream.last_sequence
 
     def send_digest_check(self, now: float, stream: ReplicaStream) -> None:
-        """Request the digests of the next buckets, computed from the replica's disk."""
+        """Queue a request for the digests of the next buckets, computed from the replica's disk."""
         stream.verify_at = now + self._settings.verify_interval_ms
         end = min(BUCKETS, stream.verify_bucket + self._settings.verify_buckets)
         self._queue(now, stream, AppendContent(digest_range=BucketRange(stream.verify_bucket, end)))
