--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -28,6 +28,12 @@
 from kelptrail.dispatch.slow_start import SlowStartSettings
 from kelptrail.dispatch.timer_queue import TimerQueue
 
+KEEP_ALIVE_MS = 8000.0  # time for which a worker keeps an idle instance
+FUNCTION_MEMORY_MB = 300.0
+LATENCY_OBJECTIVE_MS, DEDUPLICATION_WINDOW_MS = 500.0, 5000.0
+LATE_VALUE_SHARE = 0.3  # has no effect
+
+# The values of a `LoadRation`: loads are allowed, free loads, further loads for each request, window in ms.
 SAFETY: dict[str, Any] = {
     "seed": 1,
     "parallel_attempts": True,
@@ -66,19 +72,22 @@
     loads_on_demand: bool = False,
     **safety_settings: Any,
 ) -> Dispatcher:
-    """Return a dispatcher with live, warm workers, alternating between two zones and two cells.
+    """Return a dispatcher with live workers that are not in slow start, alternating between two zones and two cells.
 
-    `retry_after_ms` is its longest retry-after time; `shared` is the initial `shared_ratio` of its instance table.
+    `retry_after_ms` is its longest retry-after time; `shared` is the initial `shared_ratio` of its instance table: the
+    estimated share of instances that are already loaded at their first use.  With `loads_on_demand` a worker loads a
+    function when an attempt arrives.
     """
     seed = safety_settings.get("seed", 1)
     safety, outliers, timers = make_safety(**safety_settings), OutlierDetector(), TimerQueue()
-    instances = InstanceTable(timers, 8000.0, loads_on_demand)
+    instances = InstanceTable(timers, KEEP_ALIVE_MS, loads_on_demand)
     instances.shared_ratio = shared
     parts = Components(
         safety,
         outliers,
         Placement(safety, outliers, 0, seed),
         instances,
+        # Only the largest weight of the classes counts: 8, four times that of the default class.
         RequestQueues(seed, [make_request_class(), make_request_class(weight=8.0)], []),
         timers,
     )
@@ -91,12 +100,14 @@
     idempotency: Idempotency = Idempotency.IDEMPOTENT, scope: str = "all", weight: float = 2.0
 ) -> RequestClass:
     """Return a request class with a latency objective of 500 ms and a deduplication window of 5 s."""
-    return RequestClass(idempotency.value, idempotency, 500.0, weight, 0.3, scope, 5000.0)
+    return RequestClass(
+        idempotency.value, idempotency, LATENCY_OBJECTIVE_MS, weight, LATE_VALUE_SHARE, scope, DEDUPLICATION_WINDOW_MS
+    )
 
 
 def make_function(name: str = "f", concurrency: int = 2, request_class: RequestClass | None = None) -> Function:
     """Return a function whose instances have `concurrency` slots."""
-    return Function(name, request_class or make_request_class(), 300.0, concurrency)
+    return Function(name, request_class or make_request_class(), FUNCTION_MEMORY_MB, concurrency)
 
 
 def new_request(
@@ -115,7 +126,10 @@
 
 
 def load_and_serve_one(dispatcher: Dispatcher, function: Function, now: float = 0.0, instances: int = 1) -> Worker:
-    """Load an instance (or `instances`) for one request, and complete its attempt after 50 ms; return the worker."""
+    """Load an instance (or `instances`) for one request, and complete its attempt after 50 ms; return the worker.
+
+    Also sets the `shared_ratio` of the instance table to 0, so that a load order is sent before any trial attempt.
+    """
     request = new_request(function, now)
     dispatcher.on_request(now, request)
     dispatcher.parts.instances.shared_ratio = 0.0
@@ -129,7 +143,7 @@
 
 
 def complete(dispatcher: Dispatcher, attempt: Attempt, now: float) -> None:
-    """Report the attempt as completed."""
+    """Report the attempt as completed, which ends its request; the instance was loaded when the attempt arrived."""
     dispatcher.on_attempt_finished(now, attempt, AttemptResult(AttemptStatus.COMPLETED, True, warm=True))
 
 
--- a/tests/raw_sockets.py
+++ b/tests/raw_sockets.py
@@ -1,4 +1,4 @@
-"""Helpers for tests that force an order of events: blocking sockets, delayed connects, output of processes."""
+"""Helpers for tests that force an order of events: raw sockets, frames, delayed connects, output of processes."""
 
 from __future__ import annotations
 
@@ -42,7 +42,10 @@
 
 
 def request(stream: int, body: bytes = b"hello", **other: str) -> bytes:
-    """Encode a request frame; `other` replaces or adds fields."""
+    """Encode a request frame; `other` replaces or adds fields.
+
+    `stream` is also the number in the request's id and in the function's id, so each stream calls another function.
+    """
     fields = {
         "verb": "t",
         "txn": f"{stream:016x}",
@@ -74,7 +77,10 @@
 
 
 class BlockedConnects:
-    """Replaces `connect` of a module; new connects wait until `gate` is set."""
+    """Replaces `connect` of a module; new connects, or only those to `port`, wait until `gate` is set.
+
+    `waiting` counts all connects that had to wait, also those that continued since.
+    """
 
     def __init__(
         self, monkeypatch: pytest.MonkeyPatch, module: Any = worker_connection, port: int | None = None
@@ -90,9 +96,9 @@
 
 
 def read_until(process: subprocess.Popen[bytes], text: str, within: float = 4.0) -> str:
-    """Return the output of the process up to the end of the read that contains `text`.
+    """Return the output of the process that earlier calls have not read, up to the end of the read with `text`.
 
-    Raises `AssertionError` if the process ends before, or after `within` seconds.
+    Raises `AssertionError` if the process ends before that, or if `text` does not arrive within `within` seconds.
     """
     assert process.stdout is not None
     output, deadline = "", time.monotonic() + within
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -1,6 +1,7 @@
 """Races of graceful shutdown and signals of the platform's program with other events.
 
-In most tests one side is blocked at a known point, so that the order of events does not depend on timing.
+In several tests one side is blocked at a known point, so that the order of events depends less on timing.  Where a
+test needs a fixed pause for its order, a remark says what the pause waits for.
 """
 
 from __future__ import annotations
@@ -34,6 +35,12 @@
 from kelptrail.codec import frames
 from kelptrail.platform import graceful_shutdown, log_events
 
+# The constants named here are in `kelptrail.dispatch.shutdown` and `kelptrail.platform.graceful_shutdown`.
+# Latest end of a shutdown after its start: `ARRIVALS_MS` and the longest timeout of `SETTINGS` (2 s), less `MARGIN_MS`,
+# plus `CLOSE_LINGER_MS`.
+PLANNED_END_S = 2.5
+EARLIEST_KILL_S = 3.7  # earliest time of SIGKILL after SIGTERM: `ARRIVALS_MS` plus `MAX_DEADLINE_WAIT_MS`
+
 
 def test_a_request_that_arrives_as_shutdown_ends_is_answered_or_not_executed() -> None:
     async def main() -> None:
@@ -44,13 +51,14 @@
             client = await platform.client()
             client.send_request(1)
             assert await client.answer_code() == frames.SERVED
-            loop, late_requests = asyncio.get_running_loop(), []
+            loop, late_streams = asyncio.get_running_loop(), []
             original_call_later = loop.call_later
 
             def call_later(delay: float, callback: Callable[..., Any], *args: Any, **options: Any) -> Any:
                 is_end = getattr(callback, "__name__", "") in ("set_result", "_finish")
-                if is_end and not late_requests:  # a request arrives after the last check found no open work
-                    late_requests.append(2)
+                # A request arrives after the last check found no open work and the connections began to close.
+                if is_end and not late_streams:
+                    late_streams.append(2)
                     client.send_request(2)
                 return original_call_later(delay, callback, *args, **options)
 
@@ -58,7 +66,7 @@
             platform.service.shut_down()
             assert await client.next_frame() == (frames.GO_AWAY, 0, b"")
             await asyncio.wait_for(platform.service.finished, 3.0)
-            assert late_requests
+            assert late_streams
             platform.service.close()
             code = await client.answer_code()
             assert code == frames.SERVED or (code is None and len(platform.workers[0].calls) == 1)
@@ -94,15 +102,17 @@
             started_at = time.monotonic()
             platform.service.shut_down()
             if not reads:
-                await asyncio.wait_for(platform.service.finished, 2.5)
+                # The answer no longer delays the shutdown `READ_STALL_MS` after the client last read.
+                await asyncio.wait_for(platform.service.finished, PLANNED_END_S)
                 sock.close()
                 return
             await asyncio.sleep(0.8)  # the first check for open work comes after 0.7 s
             assert not platform.service.finished.done()
             found = await asyncio.to_thread(read_all, sock)
+            # Before the body come the status code SERVED and an empty list of fields.
             assert answers(found) == {1: frames.SERVED} and found[0][2] == b"\0\0" + body
             await asyncio.wait_for(platform.service.finished, 1.0)
-            assert time.monotonic() - started_at < 2.5
+            assert time.monotonic() - started_at < PLANNED_END_S
             sock.close()
 
     run(main())
@@ -122,7 +132,7 @@
             assert await partial.next_frame() == (frames.GO_AWAY, 0, b"")
             late = connect_raw(platform.port)
             late.sendall(request(2))
-            await asyncio.sleep(0.75)
+            await asyncio.sleep(0.75)  # past the first check for open work
             assert not platform.service.finished.done()
             partial.writer.write(data[30:])
             assert await partial.answer_code() == frames.SERVED
@@ -161,10 +171,12 @@
         async with PlatformFixture(WorkerStub(echo)) as platform:
             sock = connect_raw(platform.port)
             sock.sendall(b"\0\0\0\2no" + bytes(3000))  # not a frame: answered with an error and closed
-            await asyncio.sleep(0.2)
+            await asyncio.sleep(0.2)  # time for the server to answer
             with contextlib.suppress(OSError):
                 sock.sendall(bytes(1000))  # later bytes must not reset the connection
-            await asyncio.sleep(0.05)
+            await asyncio.sleep(0.05)  # time for the later bytes to arrive
+            # `read_all` hides a reset, so only the missing answer shows it.  It blocks the server's event loop, but the
+            # answer has been sent by now.
             assert answers(read_all(sock)) == {0: frames.FAILED}
             sock.close()
             await until(lambda: not len(platform.service.client_server.connections))
@@ -221,12 +233,13 @@
     with ProcessReadingPipe(tmp_path) as blocked:
         writer = blocked.open_writer()
         blocked.process.send_signal(signal.SIGHUP)
-        time.sleep(0.05)
+        time.sleep(0.05)  # the process receives the signal before its read ends
         blocked.replace(configuration_text(0))  # read because of the signal
         write_and_close(writer, configuration_text(0))
+        # The log line of the reload; `journal` is the key of the endpoint list's address.
         read_until(blocked.process, "configuration journal")
         blocked.process.send_signal(signal.SIGTERM)
-        blocked.process.send_signal(signal.SIGTERM)
+        blocked.process.send_signal(signal.SIGTERM)  # has no effect during the shutdown
         assert blocked.process.wait(5) == 0
 
 
@@ -234,8 +247,9 @@
     with ProcessReadingPipe(tmp_path) as blocked:
         writer = blocked.open_writer()
         blocked.process.send_signal(signal.SIGTERM)
-        time.sleep(0.05)
+        time.sleep(0.05)  # the process receives the signal before its read ends
         write_and_close(writer, configuration_text(0))
+        # The log shows indirectly that the listener was not opened: after that, SIGTERM starts a graceful shutdown.
         assert blocked.process.wait(5) == 0 and blocked.process.stdout is not None
         assert log_events.SHUTTING_DOWN.encode() not in blocked.process.stdout.read(), (
             "a graceful shutdown started although no client could connect"
@@ -250,7 +264,7 @@
     )
     try:
         read_until(process, "list number=1")
-        time.sleep(0.2)
+        time.sleep(0.2)  # the listener opens after the list is logged
         process.send_signal(signal.SIGTERM)
         while process.poll() is None:
             process.send_signal(signal.SIGHUP)
@@ -269,12 +283,12 @@
     )
     try:
         read_until(process, "list number=1")
-        time.sleep(0.2)
-        text = json.dumps(configuration() | {"journal": "127.0.0.1:19"})
+        time.sleep(0.2)  # the signal handlers are installed after the list is logged
+        text = json.dumps(configuration() | {"journal": "127.0.0.1:19"})  # another address of the endpoint list
         file.write_text(text[: len(text) // 2])
         process.send_signal(signal.SIGHUP)
         read_until(process, "configuration kept")
-        file.write_text(text)
+        file.write_text(text)  # without a further signal: the program reads again after `REREAD_BACKOFF_MS`
         assert "kept" not in read_until(process, "configuration journal=('127.0.0.1', 19)")
     finally:
         process.kill()
@@ -284,7 +298,7 @@
 def test_open_requests_are_answered_before_a_process_in_shutdown_is_killed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """SIGKILL may come 3.7 s after SIGTERM: 0.7 s plus the longest timeout, of which at most 3 s count.
+    """SIGKILL may come `EARLIEST_KILL_S` after SIGTERM: 0.7 s plus the longest timeout, of which at most 3 s count.
 
     The worker never answers, and the deadline of the request is later.
     """
@@ -298,9 +312,9 @@
             started_at = time.monotonic()
             platform.service.shut_down()
             assert await client.next_frame() == (frames.GO_AWAY, 0, b"")
-            assert await client.answer_code(3.7) == frames.REFUSED, (
+            assert await client.answer_code(EARLIEST_KILL_S) == frames.REFUSED, (
                 "not refused, so the client does not retry it elsewhere"
             )
-            await asyncio.wait_for(platform.service.finished, 3.7 - (time.monotonic() - started_at))
+            await asyncio.wait_for(platform.service.finished, EARLIEST_KILL_S - (time.monotonic() - started_at))
 
     run(main())
