--- a/kelptrail/lease/acceptor_store.py
+++ b/kelptrail/lease/acceptor_store.py
@@ -113,9 +113,9 @@
 def open_acceptor_store(file: Path, vfs: str | None = None) -> OpenedAcceptorStore:
     """Open a store and read it.  A damaged file is renamed and replaced by an empty store.
 
-    If it cannot be renamed, it is opened again without being read.  Raises `JournalError` if that or the empty store
-    cannot be opened, and after any other error, such as a failing disk, a newer format or an unknown stage; the file
-    then stays, as it may be intact.
+    If it cannot be renamed, it is opened again without being read.  Raises `JournalError` if this second open fails.
+    Also raises it after any other error, such as a failing disk, a newer format or an unknown stage; the file then
+    stays, as it may be intact.
     """
     try:
         store = AcceptorStore(file, vfs)
