--- a/Makefile
+++ b/Makefile
@@ -2,7 +2,7 @@
 PY ?= python3
 BIN := .venv/bin
 # Test processes at a time.  Tests marked `scenarios` run processes of their own and judge what they count; those marked
-# `timed` measure time: they run alone, last.
+# `timed` measure time: they run alone, last.  A test process without tests takes over tests of another one (worksteal).
 JOBS ?= 6
 SCENARIO_JOBS ?= 3
 
@@ -27,8 +27,8 @@
 	MYPYPATH=bench $(BIN)/mypy bench
 
 test: lint
-	$(BIN)/python -m pytest -q -n $(JOBS) -m "not timed and not scenarios" $(ARGS)
-	$(BIN)/python -m pytest -q -n $(SCENARIO_JOBS) -m scenarios $(ARGS) || [ $$? -eq 5 ]
+	$(BIN)/python -m pytest -q -n $(JOBS) --dist worksteal -m "not timed and not scenarios" $(ARGS)
+	$(BIN)/python -m pytest -q -n $(SCENARIO_JOBS) --dist worksteal -m scenarios $(ARGS) || [ $$? -eq 5 ]
 	$(BIN)/python -m pytest -q -m timed $(ARGS) || [ $$? -eq 5 ]
 
 # The code of the gRPC messages; a test tells when it is older than its .proto.
