--- a/kelptrail/dispatch/attempt_results.py
+++ b/kelptrail/dispatch/attempt_results.py
@@ -17,8 +17,11 @@
 # adds 1 / limit if at least about half of the limit is in use, so that a number of attempts equal to the
 # limit raises it by about one.
 CONCURRENCY_DECREASE = 0.9
-# Attempts show whether the fleet is overloaded only at workers whose mean number of attempts in flight is
-# lower than this.  At busier workers, delays lower the concurrency limit instead.
+# Late and refused attempts show that the fleet is overloaded only at workers whose mean number of attempts in
+# flight is lower than this.  At busier workers, delays lower the concurrency limit instead.  Attempts in time
+# at busier workers show that the fleet is not overloaded only while there are few delays at the others:
+# otherwise a worker that refuses a few attempts, and is idle because of that, would cause requests to be shed
+# although busier workers complete theirs in time.
 MAX_IDLE_IN_FLIGHT = 0.3
 
 CONNECTION_FAILURES = (AttemptStatus.CONNECTION_LOST, AttemptStatus.UNREACHABLE)
@@ -168,18 +171,21 @@
         self, now: float, attempt: Attempt, latency_ms: float, foreign_in_flight: int
     ) -> None:
         """Update the share of admitted requests and the estimated load from other dispatchers, after a
-        completed or refused attempt.
+        completed or refused attempt.  A late or refused attempt lowers the share only at an idle worker.  An
+        attempt in time raises it at an idle worker, and at a busier one while there are few delays.
         """
         instance, worker = attempt.instance, attempt.instance.worker
         refused = attempt.status is AttemptStatus.OUT_OF_CAPACITY
+        late = latency_ms > attempt.request.request_class.latency_objective_ms
+        shows_overload = refused or late
         if worker.mean_in_flight < MAX_IDLE_IN_FLIGHT:
-            late = latency_ms > attempt.request.request_class.latency_objective_ms
-            shows_overload = refused or late
             self._worker_delays.observe(now, worker, shows_overload)
             # One worker that delays or refuses many attempts does not mean that the fleet is overloaded:
             # others may be idle.
             if not shows_overload or not self._worker_delays.is_outlier(now, worker):
                 self._queues.observe_worker_delay(instance.function, shows_overload)
+        elif not shows_overload and self._worker_delays.are_few(now):
+            self._queues.observe_worker_delay(instance.function, False)
         # A refused attempt counts as if attempts of other dispatchers filled the concurrency limit.
         self._placement.observe_foreign_load(
             now, instance, max(foreign_in_flight, worker.concurrency_limit * refused)
--- a/kelptrail/dispatch/worker_delays.py
+++ b/kelptrail/dispatch/worker_delays.py
@@ -15,6 +15,9 @@
 # share of the others is at most `OTHERS_SHARE`.  The outliers of `outlier_detection` are workers that fail.
 OUTLIER_SHARE = 0.4
 OTHERS_SHARE = 0.1
+# Delays are few while the shares of all workers add up to at most this, as after three delays in a row at one
+# worker, or one delay each at two.
+FEW_DELAYS_SHARE_SUM = 0.5
 
 
 @dataclass(slots=True)
@@ -49,6 +52,13 @@
             return False
         return (self._sum - record.bad_share) / others <= OTHERS_SHARE
 
+    def are_few(self, now: float) -> bool:
+        """Return whether the workers together delay or refuse so few attempts that the fleet is probably not
+        overloaded.
+        """
+        self._remove_old(now)
+        return self._sum <= FEW_DELAYS_SHARE_SUM
+
     def _remove_old(self, now: float) -> None:
         while self._by_worker:
             worker = next(iter(self._by_worker))
--- a/tests/test_dispatch_termination.py
+++ b/tests/test_dispatch_termination.py
@@ -7,6 +7,7 @@
 
 import pytest
 from helpers import (
+    AMPLE_LOADS,
     complete,
     decide_all,
     load_and_serve_one,
@@ -26,7 +27,13 @@
     Idempotency,
     LoadOrder,
     Request,
+    Worker,
 )
+from kelptrail.dispatch.worker_delays import MAX_AGE_MS, WorkerDelays
+
+# Mean numbers of attempts in flight at a worker, below and above the limit for a worker that counts as idle.
+IDLE, BUSY = 0.0, 0.5
+IN_TIME_MS, LATE_MS = 50.0, 600.0  # latencies
 
 
 def test_a_request_that_cannot_meet_its_deadline_is_rejected_at_once() -> None:
@@ -52,6 +59,75 @@
     assert not any(queues.should_shed(1.0, new_request(make_function(), 0.0)) for _ in range(200))
 
 
+@pytest.mark.parametrize(
+    ("refused", "completed", "mean_in_flight", "latency_ms", "sheds"),
+    [
+        # One worker refuses a few attempts, or two workers refuse one each.
+        ([1], 2, BUSY, IN_TIME_MS, False),
+        ([2], 4, BUSY, IN_TIME_MS, False),
+        ([3], 6, BUSY, IN_TIME_MS, False),
+        ([1, 1], 4, BUSY, IN_TIME_MS, False),
+        # More refusals: attempts in time end the shedding only at idle workers.
+        ([3, 1], 8, BUSY, IN_TIME_MS, True),
+        ([2, 1], 6, BUSY, IN_TIME_MS, True),
+        ([2, 2, 2, 2], 16, BUSY, IN_TIME_MS, True),
+        ([2, 2, 2, 2], 16, IDLE, IN_TIME_MS, False),
+        # Fewer attempts in time than make up for the refusals.
+        ([1], 1, BUSY, IN_TIME_MS, True),
+        ([2], 3, BUSY, IN_TIME_MS, True),
+        ([2, 2, 2, 2], 8, IDLE, IN_TIME_MS, True),
+        # Late attempts: at busy workers they neither cause nor end shedding.
+        ([], 8, BUSY, LATE_MS, False),
+        ([1], 8, BUSY, LATE_MS, True),
+        ([], 8, IDLE, LATE_MS, True),
+    ],
+)
+def test_refused_and_late_attempts_shed_requests_until_enough_others_are_in_time(
+    refused: list[int], completed: int, mean_in_flight: float, latency_ms: float, sheds: bool
+) -> None:
+    """Idle workers refuse these numbers of attempts each, then other workers complete attempts."""
+    dispatcher = make_dispatcher(workers=16, load_ration=AMPLE_LOADS)
+    attempts = start_attempts_by_worker(dispatcher)
+    for count in refused:
+        for attempt in attempts.pop()[:count]:
+            finish_attempt(dispatcher, attempt, IDLE, AttemptStatus.OUT_OF_CAPACITY, IN_TIME_MS)
+    others = [attempt for worker_attempts in attempts for attempt in worker_attempts]
+    for attempt in others[:completed]:
+        finish_attempt(dispatcher, attempt, mean_in_flight, AttemptStatus.COMPLETED, latency_ms)
+    assert (shed_count(dispatcher) > 0) is sheds
+
+
+def test_delays_count_only_for_a_limited_time() -> None:
+    delays = WorkerDelays()
+    for n in range(3):
+        delays.observe(0.0, Worker(f"w{n}"), delayed_or_refused=True)
+    assert not delays.are_few(MAX_AGE_MS - 1)
+    assert delays.are_few(MAX_AGE_MS)
+
+
+def start_attempts_by_worker(dispatcher: Dispatcher) -> list[list[Attempt]]:
+    """Start three attempts at each worker at 0 ms, all of different functions; return those of each worker."""
+    for n in range(3 * len(dispatcher.workers)):
+        start_attempt(dispatcher, new_request(make_function(f"f{n}"), 0.0), 0.0)
+    attempts = [list(worker.attempts) for worker in dispatcher.workers]
+    assert all(len(worker_attempts) == 3 for worker_attempts in attempts)
+    return attempts
+
+
+def finish_attempt(
+    dispatcher: Dispatcher, attempt: Attempt, mean_in_flight: float, status: AttemptStatus, now: float
+) -> None:
+    """Finish an attempt, and with it its request, at a worker with this mean number of attempts in flight."""
+    attempt.instance.worker.mean_in_flight = mean_in_flight
+    dispatcher.on_attempt_finished(now, attempt, AttemptResult(status, request_done=True))
+
+
+def shed_count(dispatcher: Dispatcher) -> int:
+    """Return how many of 200 further requests would be shed."""
+    requests = [new_request(make_function(), 0.0) for _ in range(200)]
+    return sum(dispatcher.parts.queues.should_shed(1.0, request) for request in requests)
+
+
 def test_a_deduplicated_request_that_may_have_run_is_rejected_only_with_a_valid_key() -> None:
     cases = ((True, 100.0, "rejected"), (True, 9000.0, "aborted"), (False, 100.0, "aborted"))
     for has_key, elapsed_ms, final_status in cases:
