--- a/kelptrail/dispatch/attempt_results.py
+++ b/kelptrail/dispatch/attempt_results.py
@@ -20,8 +20,8 @@
 # Late and refused attempts show that the fleet is overloaded only at workers whose mean number of attempts in
 # flight is lower than this.  At busier workers, delays lower the concurrency limit instead.  Attempts in time
 # at busier workers show that the fleet is not overloaded only while there are few delays at idle workers.  If
-# they never did, a worker that refuses a few attempts, and is idle because of that, would cause requests to be
-# shed although busier workers complete theirs in time.
+# they never did, a worker that refuses a few attempts, and is idle because of that, would cause requests to
+# be shed although busier workers complete theirs in time.
 MAX_IDLE_IN_FLIGHT = 0.3
 
 CONNECTION_FAILURES = (AttemptStatus.CONNECTION_LOST, AttemptStatus.UNREACHABLE)
