--- a/kelptrail/cli/operations.py
+++ b/kelptrail/cli/operations.py
@@ -93,8 +93,9 @@
     if as_json:
         print_json(status)
         return
-    # Keys of the status: `vote` is the acceptor in this dispatcher, or null; `voters` has the ms since the last
-    # message of each acceptor; `wants` are the requested tasks, `holds` the leases held here, `seen` all known leases.
+    # Keys of the status: `vote` is the acceptor in this dispatcher, or null; `voters` has the ms since data was last
+    # received from each acceptor, or null if it is not connected; `wants` are the requested tasks, `holds` the leases
+    # held here; `seen` has the last holder of each task that an acceptor named when it refused a request.
     acceptor, last_heard_ms = status["vote"], status["voters"]
     click.echo(f"{status['name']}, set of voters {status['number']}: {_acceptors_line(last_heard_ms)}")
     if acceptor is not None:
@@ -105,7 +106,7 @@
 
 
 def _acceptors_line(last_heard_ms: dict[str, float | None]) -> str:
-    """Return the time since the last message of each acceptor, with a note if fewer than a majority were heard."""
+    """Return the time since data was last received from each acceptor, with a note if no majority is connected."""
     parts = [f"{name} {'not heard' if ms is None else f'{ms:g} ms ago'}" for name, ms in last_heard_ms.items()]
     reached = sum(ms is not None for ms in last_heard_ms.values())
     has_majority = 2 * reached > len(last_heard_ms)
@@ -117,7 +118,8 @@
 def _describe_lease(own: dict[str, Any] | None, reported: dict[str, Any] | None) -> str:
     """Describe a task's lease: its holder, token and remaining time.
 
-    `own` is the queried dispatcher's lease; `reported` is the lease that this dispatcher or its acceptor has recorded.
+    `own` is the queried dispatcher's lease; `reported` is the lease that the acceptor in this dispatcher has recorded,
+    or else the one that another acceptor named in a refusal.
     """
     if own is not None:
         return f"held here under {own['token']}, {_seconds(own['left_ms'])} left"
@@ -142,7 +144,8 @@
         print_json(status)
         return
     # Keys of the status: `copies` is the required number of replicas, `promising` whether deferred calls are accepted,
-    # `holders` are the replicas of an owned journal, `held` the journals that this dispatcher replicates.
+    # `holders` are the replicas of an owned journal, `members` its owner and the replicas in sync, `held` the journals
+    # that this dispatcher replicates.
     accepting = "new deferred calls are accepted" if status["promising"] else "new deferred calls are refused"
     click.echo(f"{status['name']}, {status['copies']} copies: {accepting}")
     for journal, owned in status["owned"].items():
@@ -166,7 +169,7 @@
 @click.argument("control")
 @click.option("--within", default=120.0, show_default=True, help="Maximum time to wait for it, in s.")
 def retire(name: str, control: str, within: float) -> None:
-    """Move all journals off the dispatcher NAME with control port CONTROL, before its machine is removed."""
+    """Move all journals off the dispatcher NAME at control address CONTROL, before its machine is removed."""
     _run_control_request(control, _retire(name, control, within))
     click.echo(f"{name} owns and replicates no journals any more: stop it with SIGTERM")
 
--- a/kelptrail/fault_scenario/timeline_plot.py
+++ b/kelptrail/fault_scenario/timeline_plot.py
@@ -23,6 +23,7 @@
         1,
         figsize=(11, 8 + lease_height),
         sharex=True,
+        # Without leases, 0.01 keeps the ratio of their plot above zero.
         height_ratios=[3, 1.5, lease_height + 0.01, max(1.0, 0.16 * len(timeline.faults))],
     )
     _draw_leases(lease_axis, leases)
@@ -54,6 +55,7 @@
 
 
 def _draw_work(axis: Any, rows: list[dict[str, Any]]) -> None:
+    """Plot the attempts and the load orders of each second."""
     seconds = [row["second"] for row in rows]
     axis.plot(seconds, [row["sends"] for row in rows], label="attempts", color="#555555")
     axis.plot(seconds, [row["orders"] for row in rows], label="load orders", color="#c06014")
@@ -61,6 +63,7 @@
 
 
 def _draw_faults(axis: Any, faults: list[dict[str, Any]]) -> None:
+    """Plot a bar for the duration of each fault, labelled with its kind."""
     for number, fault in enumerate(faults):
         length_s = max(SHORTEST_BAR_S, fault["for"])
         axis.barh(number, length_s, left=fault["at"], color="#8a5a83")
@@ -80,7 +83,7 @@
     axis.set_yticks(range(len(leases)), list(leases), fontsize=8)
     if not leases:
         axis.set_axis_off()
-    for name in names:
+    for name in names:  # bars without length, which only add each holder to the legend
         axis.barh(0, 0, color=colors[name], label=name)
     if names:
         axis.legend(loc="lower right", bbox_to_anchor=(1, 1), ncols=len(names), fontsize=6)
--- a/kelptrail/front/invoke/actions.py
+++ b/kelptrail/front/invoke/actions.py
@@ -59,6 +59,10 @@
         reply_json(exchange, actions[page.skip : page.skip + page.limit])
 
     def _parse_target(self, request: Request, action: ActionSettings) -> InvocationTarget:
+        """Parse the namespace, which is segment 3 of the path, and the query of an invocation; cache the result.
+
+        Once `MAX_CACHED_TARGETS` are cached, no others are added: their requests are parsed each time.
+        """
         query = request.query
         wait_ms = parse_number(query, "timeout", 1, self._max_wait_ms, self._max_wait_ms)
         blocking, result_only = parse_flag(query, "blocking"), parse_flag(query, "result")
--- a/kelptrail/gateway/limits.py
+++ b/kelptrail/gateway/limits.py
@@ -12,7 +12,7 @@
 
 
 class RejectionReason(StrEnum):
-    """The reason for a rejection on arrival; the values are shown in the status and the metrics."""
+    """The reason for a rejection on arrival; the values are shown in the status."""
 
     HELD = "held"  # too many requests in flight
     BYTES = "bytes"  # the bodies of the requests in flight take too much memory
--- a/kelptrail/planner/program_placement.py
+++ b/kelptrail/planner/program_placement.py
@@ -33,7 +33,7 @@
 from .plan import InstanceCounts
 
 INSTANCE_COST = 1e-6  # cost of any instance, so that the program places no unneeded ones
-COST_TOLERANCE = 1e-9
+COST_TOLERANCE = 1e-9  # smaller differences between costs are rounding errors
 MAX_PREFERENCES = 4_000_000  # limit of function-worker hashes; above it no preferred workers are used
 
 
@@ -44,6 +44,7 @@
     `preferred_workers`: candidates for a function besides the workers where it is loaded and those of the greedy
     placement; `max_pairs`: pairs of a function and a candidate, above which the program is not solved.  `max_nodes`
     ends the search at the same point on every machine; `max_seconds` is a further limit, which does not.
+    `relative_gap` ends it once the cost is within this share of its lower bound.
     """
 
     max_nodes: int = 200
@@ -207,6 +208,7 @@
         )
 
     def _memory_constraint(self) -> optimize.LinearConstraint:
+        """Limit the memory that instances use on each worker to `MEMORY_SHARE` of it."""
         sizes = np.array([demand.memory_mb for demand in self._requested])
         used = self._rows(sizes[self._pair_functions], self._pair_workers, self._instance_columns, self._worker_count)
         return optimize.LinearConstraint(used, -np.inf, [worker.memory_mb * MEMORY_SHARE for worker in self._workers])
@@ -220,6 +222,7 @@
         return optimize.LinearConstraint(placed - new, -np.inf, loaded)
 
     def _budget_constraint(self, budget: int) -> optimize.LinearConstraint:
+        """Limit the new instances on all workers together to `budget`."""
         ones, first_row = np.ones(self._pair_count), np.zeros(self._pair_count, int)
         return optimize.LinearConstraint(self._rows(ones, first_row, self._new_columns, 1), -np.inf, budget)
 
@@ -234,6 +237,7 @@
         return optimize.LinearConstraint(used - overload, -np.inf, np.full(self._worker_count, TARGET_UTILIZATION))
 
     def _loaded(self, pair: Pair) -> int:
+        """Return how many instances of the pair's function are loaded on its worker."""
         return self._requested[pair.function].loaded.get(self._workers[pair.worker].id, 0)
 
     def _rows(self, data: np.ndarray, rows: np.ndarray, columns: np.ndarray, row_count: int) -> sparse.csr_array:
--- a/kelptrail/vrrp/simulation.py
+++ b/kelptrail/vrrp/simulation.py
@@ -70,6 +70,8 @@
         self._members, self._interval_cs, self.preempt = members, interval_cs, preempt
         self._tracks = tracks or []
         self.faults, self.now = NetworkFaults(), 0.0
+        # Number of starts of each instance.  A restarted instance signs with a higher epoch, because its packet count
+        # begins again and its packets would otherwise be rejected as replays.
         self._epochs = dict.fromkeys((a for a, _ in members), 0)
         # Heap of datagrams in flight: time of arrival, sequence number, datagram, sender.
         self._in_flight: list[tuple[float, int, Datagram, Address]] = []
@@ -88,6 +90,7 @@
         priority = dict(self._members)[address]
         self._epochs[address] += 1
         others = tuple(a for a, _ in self._members if a != address)
+        # The virtual address, here the first member's, only has to be the same on all instances.
         settings = RouterSettings(1, priority, (self._members[0][0],), self._interval_cs, self.preempt)
         self.instances[address] = Instance(
             address,
@@ -137,6 +140,7 @@
             self.spans.append(HolderSpan(self.now, len(self.holders())))
 
     def _apply_outputs(self, address: Address) -> None:
+        """Apply the address changes of an instance, and send its datagrams with the faults of the network."""
         outputs, faults = self.instances[address].outputs, self.faults
         while outputs:
             output = outputs.popleft()
@@ -159,12 +163,12 @@
         """Let `ms` milliseconds pass."""
         end = self.now + ms
         while True:
-            dues = [
+            timer_dues = [
                 due for a, i in self.instances.items() if a not in self.paused and (due := i.next_due()) is not None
             ]
             # Tracked objects need regular ticks, because their hysteresis is applied at ticks only.
             tracking_due = [self.now + TRACKING_STEP_MS] if self._tracks else []
-            due = min([*dues, *tracking_due, *(f[0] for f in self._in_flight[:1]), end])
+            due = min([*timer_dues, *tracking_due, *(f[0] for f in self._in_flight[:1]), end])
             self.now = max(self.now, due)
             if self._in_flight and self._in_flight[0][0] <= self.now:
                 _, _, datagram, sender = heappop(self._in_flight)
@@ -259,7 +263,7 @@
         network.resume(old_master)
     else:
         network.start(old_master)
-    network.run(12 * interval_ms)
+    network.run(12 * interval_ms)  # enough for the old Master to take the address back, if it preempts
     holders = network.holders()
     if len(holders) != 1 or (network.preempt and holders != [members[0][0]]):
         statistics.violations.append(f"{seed}: held by {holders} after the old Master returned")
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -129,6 +129,8 @@
 
 
 def test_the_share_of_instances_loaded_by_others_is_measured_at_first_uses() -> None:
+    # Functions 0 to 3 are already loaded by others.  The share rises above 0.5 with the first of them, so that the next
+    # use starts with a trial attempt, and falls below it again with the third that is not loaded, which is function 6.
     dispatcher = make_dispatcher(8, shared=0.5, load_ration=AMPLE_LOADS)
     for n, load_ms in enumerate([0.0] * 4 + [900.0] * 12):
         dispatcher.on_request(2000.0 * n, new_request(make_function(f"f{n}"), 2000.0 * n))
@@ -166,6 +168,7 @@
                 10.0,
                 {"x1": reported if worker is preferred else 1.0, "util": 0.7},
             )
+        # A function with the same name prefers the same workers, and has no instances yet.
         chosen, _ = dispatcher.parts.placement.choose_worker(5000.0, make_function(), dispatcher.workers)
         assert (chosen is preferred) == on_preferred
 
@@ -180,7 +183,7 @@
     dispatcher.on_endpoints(200.0, [*dispatcher.workers, Worker("new")], [])
     dispatcher.parts.placement.choose_worker(200.0, function, dispatcher.workers)
     assert len(function.preferred_workers) == 9 and function.preferred_workers is not preferred_workers
-    budget_checks = list[float]()
+    budget_checks = list[float]()  # times of the calls of `has_budget`, which is replaced by one that returns True
     dispatcher.parts.safety.has_budget = lambda now, worker: not budget_checks.append(now)  # type: ignore[method-assign]
     (attempt,) = submit(dispatcher, function, 300.0, 1)
     budget_checks.clear()
@@ -201,7 +204,7 @@
     for foreign_in_flight, spreads in ((9, True), (0, False)):
         before = function.target_worker_count
         for n in range(12):
-            now = 1000.0 * (n + 1) + 20_000 * (not spreads)
+            now = 1000.0 * (n + 1) + 20_000 * (not spreads)  # the second series starts after the first
             for decision in submit(dispatcher, function, now, 1) + decide_all(dispatcher, now + 2):
                 if isinstance(decision, Attempt):
                     status = AttemptStatus.COMPLETED
@@ -215,15 +218,16 @@
 
 
 def test_where_workers_load_on_demand_the_first_attempt_needs_no_load_order() -> None:
-    for loads in (True, False):
+    for loads_on_demand in (True, False):
         dispatcher, function = (
-            make_dispatcher(4, shared=0.5 + loads, loads_on_demand=loads, load_ration=AMPLE_LOADS),
+            # `shared` is the initial value that `InstanceTable` sets.
+            make_dispatcher(4, shared=0.5 + loads_on_demand, loads_on_demand=loads_on_demand, load_ration=AMPLE_LOADS),
             make_function(),
         )
         for _ in range(20):
             dispatcher.parts.instances.observe_first_use(False)  # no instance was loaded by other dispatchers
         decisions = submit(dispatcher, function, 10.0, 1)
-        assert [type(decision) for decision in decisions] == [Attempt if loads else LoadOrder]
+        assert [type(decision) for decision in decisions] == [Attempt if loads_on_demand else LoadOrder]
 
 
 def test_an_instance_is_added_elsewhere_while_a_cold_worker_may_get_no_attempt() -> None:
@@ -233,7 +237,8 @@
     dispatcher.on_endpoints(2000.0, dispatcher.workers, [preferred])
     preferred.instances[function].loaded = 1  # loaded again by another dispatcher
     safety = dispatcher.parts.safety
-    safety._warm_throughput, safety._measured_at = 0.0, 1e9  # no attempt may start at a cold worker
+    # No attempt may start at a cold worker: the throughput of warm workers counts as 0, and is not measured again.
+    safety._warm_throughput, safety._measured_at = 0.0, 1e9
     (order,) = (d for d in submit(dispatcher, function, 2001.0, 1) if isinstance(d, LoadOrder))
     assert order.instance.worker is not preferred
 
--- a/tests/test_dispatch_hedging.py
+++ b/tests/test_dispatch_hedging.py
@@ -28,7 +28,7 @@
 def serve_in_sequence(dispatcher: Dispatcher, function: Function, now: float, latency_ms: float, n: int) -> float:
     """Complete `n` requests one after the other, so that the mean latency is known; return the time afterwards."""
     for number in range(n):
-        _, attempts = submit_one(dispatcher, function, now, 1000 + number)
+        _, attempts = submit_one(dispatcher, function, now, 1000 + number)  # numbers that the tests do not use
         for attempt in attempts:
             dispatcher.on_attempt_finished(now + latency_ms, attempt, AttemptResult(AttemptStatus.COMPLETED, True))
         now += latency_ms
@@ -37,10 +37,12 @@
 
 
 def hedged_class(idempotency: Idempotency = Idempotency.IDEMPOTENT) -> RequestClass:
-    return RequestClass(idempotency.value, idempotency, 500.0, 2.0, 0.3, "all", 5000.0, True)
+    """Return a request class as `make_request_class` does, but with hedging."""
+    return RequestClass(idempotency.value, idempotency, 500.0, 2.0, 0.3, "all", 5000.0, hedged=True)
 
 
 def submit_one(dispatcher: Dispatcher, function: Function, now: float, n: int = 1) -> tuple[Request, list[Attempt]]:
+    """Submit request `n` and complete its load orders at once; return it with the attempts that have started."""
     request = new_request(function, now, n)
     dispatcher.on_request(now, request)
     attempts = []
@@ -72,6 +74,7 @@
     (second,) = [d for d in decide_all(dispatcher, now + delay_ms + 1) if isinstance(d, Attempt)]
     assert second.request is request and second.instance.worker is not first.instance.worker
     dispatcher.on_attempt_finished(now + 90, second, AttemptResult(AttemptStatus.COMPLETED, True))
+    # The decision to cancel an attempt is the attempt itself.
     assert [d for d in decide_all(dispatcher, now + 90) if isinstance(d, Attempt)] == [first] and first.cancelled
 
 
@@ -106,7 +109,7 @@
     while retry_budget.try_spend():
         tokens += 1
     assert 0 < tokens <= 100
-    for _ in range(51):
+    for _ in range(51):  # 50 deposits of 0.2 tokens, and one more because their sum is rounded
         retry_budget.deposit()
     earned_tokens = 0
     while retry_budget.try_spend():
@@ -130,7 +133,7 @@
     assert all(attempt.overdue for attempt in attempts) and not [
         d for d in decide_all(dispatcher, now) if isinstance(d, Attempt)
     ]
-    for _ in range(11):
+    for _ in range(11):  # two tokens, as ten deposits may add up to slightly less
         dispatcher.parts.retry_budget.deposit()
     now += 600  # past the ejection of the silent workers
     dispatcher.on_tick(now)
--- a/tests/worker_connections_fixture.py
+++ b/tests/worker_connections_fixture.py
@@ -19,7 +19,7 @@
 
 
 class StubItem:
-    """An attempt with only the attributes that the connections use."""
+    """An attempt that is also its own request, with only the attributes that the connections use."""
 
     def __init__(self, id_: str) -> None:
         self.id, self.request = id_, self
@@ -71,6 +71,7 @@
         )
 
     def send(self, id_: str, size: int = 16_000) -> Any:
+        """Start an attempt whose request has a body of `size` bytes; return the attempt."""
         item = StubItem(id_)
         data = encode_call(id_, "t", "a" * 16, 1000, "", bytes(size))
         self.connections.start_attempt(item, lambda: data, len(data))  # type: ignore[arg-type]
