--- a/kelptrail/fault_scenario/dispatcher_faults.py
+++ b/kelptrail/fault_scenario/dispatcher_faults.py
@@ -25,7 +25,7 @@
     def __init__(self, cluster: Cluster, capture: Capture, links: PeerLinks, scenario_seconds: float) -> None:
         self._cluster, self._capture, self._links = cluster, capture, links
         self._scenario_seconds = scenario_seconds
-        # Dispatchers that a fault has killed and will restart; those that it will not restart are not included.
+        # Targets of the calls of `kill` in progress: until the restart, or only until the kill if no restart follows.
         self._killed: set[Process] = set()
 
     async def inject_peer_fault(self, fault: Fault, targets: list[Process]) -> None:
--- a/kelptrail/fault_scenario/report.py
+++ b/kelptrail/fault_scenario/report.py
@@ -38,13 +38,14 @@
 
     drained_cleanly: bool  # True if every dispatcher's last process exited with code 0, that is, drained cleanly
     memory: list[MemorySample]
-    states: list[dict[str, Any]]  # Answer of each dispatcher's control port to `/state` at the end
+    states: list[dict[str, Any]]  # Answers of the dispatchers' control ports to `/state`, before they are stopped
 
 
 def latencies(events: list[Event]) -> dict[str, dict[str, float]]:
     """Return latency percentiles in ms of completed blocking calls, by request class.
 
-    They are computed from an HDR histogram of microseconds.
+    They are computed from an HDR histogram of microseconds.  The final answer of a deferred call has a duration,
+    `took`, from its activation record; that of a blocking call has none.
     """
     calls = {e["call"]: e for e in events if e["what"] == "call"}
     histograms: dict[str, HdrHistogram] = defaultdict(lambda: HdrHistogram(1, LONGEST_LATENCY_US, 3))
@@ -88,8 +89,8 @@
 def lease_holders(events: list[Event], seconds: int) -> dict[str, Any]:
     """Return for each task the spans in which a dispatcher held its lease, and the time without a holder.
 
-    Times are in seconds of the load.  Spans are derived from the uses that the side-effect log accepted, each at the
-    time at which its holder had checked the lease.
+    Times are in seconds of the load.  Spans are derived from the uses that the side-effect log accepted (`taken`), each
+    at the time at which its holder had checked the lease (`looked`).
     """
     (begin,) = [e for e in events if e["what"] == "begin"]
     lease_uses: dict[str, list[Event]] = defaultdict(list)
--- a/kelptrail/lease/acceptor.py
+++ b/kelptrail/lease/acceptor.py
@@ -85,12 +85,13 @@
             self.recovery.wait_started_at = None
             self._enter_stage(Stage.CHANGING if is_next_config else Stage.EMPTY, sealed_previous=is_next_config)
         elif self.stage is Stage.CHANGING:
+            # The wait starts once a majority of the previous set is found to have entered the current one.
             self.recovery.wait_started_at = None
 
     # Inputs.
 
     def on_message(self, now: float, sender: str, message: Message) -> None:
-        """Handle a message from a client or another acceptor, and ignore every other message."""
+        """Handle a message that is meant for acceptors; messages of all other types are ignored."""
         if isinstance(message, AcquireRequest):
             self._on_acquire(now, sender, message)
         elif isinstance(message, Release):
--- a/kelptrail/replication/context.py
+++ b/kelptrail/replication/context.py
@@ -31,8 +31,9 @@
     `on_recovered` gets activations of a journal that this dispatcher has acquired.  `on_resumed` is called once the
     gateway may act on the journal.  `on_released` is called when this dispatcher stops acting on a journal, and returns
     the number of calls that the gateway gives up.  `on_progress` is called when batches may have been committed.
-    `has_activation` returns whether the gateway has the target of a lookup, `is_issued_by` whether the named dispatcher
-    issued an activation id, and `has_in_flight` whether a journal has calls in flight.
+    `has_activation` returns whether the gateway has a record for the target of a lookup, which is an activation id or
+    an idempotency key.  `is_issued_by` returns whether the named dispatcher issued an activation id, and
+    `has_in_flight` whether a journal has calls in flight.
     """
 
     on_recovered: Callable[[PrimaryHandle, list[ActivationEntries]], None] = lambda handle, activations: None
--- a/kelptrail/replication/replica_store.py
+++ b/kelptrail/replication/replica_store.py
@@ -1,8 +1,8 @@
 """Store of own and replicated journals: an SQLite database in WAL mode, or in memory if so configured.
 
 `docs/formats/copies.md` describes the layout.  Only one thread may use a store at a time.  Each entry has a checksum.
-Digests of buckets are kept in memory and updated by each write.  For a write with a `digest_range` other than all
-buckets, the digests are computed from the rows on disk, which detects silent corruption.
+Digests of buckets are kept in memory and updated by each write.  A write that requests the digests of all buckets gets
+those in memory; for a smaller `digest_range` they are computed from the rows on disk, which detects silent corruption.
 """
 
 from __future__ import annotations
@@ -28,6 +28,7 @@
 DISK_ID_BYTES = 6
 # In the stored names, `book` is the id of a journal.  A row of `shelves` has its newest token (`round`, `who`), its
 # primary (`owner`) and the time of the write; a row of `entries` has an entry's time (`since`) and data (`body`).
+# `kind` is a value of `activation_journal.KINDS`; 0 is an accepted entry.
 TABLES = (
     "CREATE TABLE disk (name TEXT NOT NULL)",
     """CREATE TABLE shelves (book TEXT PRIMARY KEY, round INTEGER NOT NULL, who TEXT NOT NULL, owner TEXT NOT NULL,
@@ -42,7 +43,8 @@
 class ReadRequest:
     """A read of the entries of one bucket, or of all activations of a journal if `bucket` is -1.
 
-    `wall_ms` is the time of the read; times in `activations` are wall-clock times.  `damaged` counts corrupt entries.
+    `wall_ms` is the time of the read; times in `activations` are wall-clock times.  `damaged` counts the
+    corrupt entries found while reading activations; a read of one bucket does not verify checksums.
     """
 
     journal_id: str
@@ -227,7 +229,7 @@
     """Open a store; an unreadable file is moved aside and replaced by a new store.
 
     The new store has a new disk id, so it is treated as a lost disk and repaired from replicas.
-    Raises `JournalError` after any other error.
+    Raises `JournalError` after any other error, and `OSError` if the file cannot be moved aside.
     """
     try:
         return OpenedStore(ReplicaStore(file, vfs), None)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -57,7 +57,7 @@
 
 
 _ENTRIES = pytest.StashKey[list[Entry]]()
-_UNMATCHED = pytest.StashKey[str]()
+_USAGE_ERROR = pytest.StashKey[str]()  # error reported by a worker of pytest-xdist
 
 
 def pytest_configure(config: pytest.Config) -> None:
@@ -79,23 +79,23 @@
     for entry in config.stash[_ENTRIES]:
         collected = entry.test.partition("::")[0] in collected_files
         if collects_whole_files and collected and not any(matches(entry, item.nodeid) for item in items):
-            unmatched = f"{FILE_NAME}: {entry.test} names no test"
+            error = f"{FILE_NAME}: {entry.test} names no test"
             # A worker of pytest-xdist reports the error to the controller, which ends the run.
             worker_output = getattr(config, "workeroutput", None)
             if worker_output is None:
-                raise pytest.UsageError(unmatched)
-            worker_output["known_red"] = unmatched
+                raise pytest.UsageError(error)
+            worker_output["known_red"] = error
 
 
 @pytest.hookimpl(optionalhook=True)
 def pytest_testnodedown(node: Any) -> None:
-    if unmatched := getattr(node, "workeroutput", {}).get("known_red"):
-        node.config.stash[_UNMATCHED] = unmatched
+    if error := getattr(node, "workeroutput", {}).get("known_red"):
+        node.config.stash[_USAGE_ERROR] = error
 
 
 @pytest.hookimpl(trylast=True)
 def pytest_sessionfinish(session: pytest.Session) -> None:
-    if session.config.stash.get(_UNMATCHED, ""):
+    if session.config.stash.get(_USAGE_ERROR, ""):
         session.exitstatus = pytest.ExitCode.USAGE_ERROR
 
 
@@ -116,7 +116,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    terminalreporter.write(terminalreporter.config.stash.get(_UNMATCHED, ""))
+    terminalreporter.write(terminalreporter.config.stash.get(_USAGE_ERROR, ""))
     for report in terminalreporter.getreports("xfailed"):
         failure = dict(report.user_properties).get("known red")
         if failure is not None:
--- a/tests/test_dispatch_slow_start.py
+++ b/tests/test_dispatch_slow_start.py
@@ -65,7 +65,7 @@
 ) -> None:
     """Each dispatcher starts attempts whenever its guard admits them.  All are notified late of the worker's start, and
     some restart without state.  The limit N + 2 sqrt(N) + 2 for any window is that of the terms of service, where N
-    is the overload multiple of the worker's mean capacity in the window."""
+    is the overload multiple times the number of attempts that match the worker's mean capacity in the window."""
     warm_count, overload_multiple, window_ms, slow_start_ms, initial_capacity = 10, 3.0, 3000.0, 17_000.0, 0.2
     exceeded = window_count = started = 0
     for seed in range(6 if dispatcher_count < 100 else 2):
@@ -95,6 +95,7 @@
             if rng.random() < 0.02 * dispatcher_count / 20:  # one dispatcher restarts with another seed
                 dispatchers[rng.randrange(dispatcher_count)] = make_guard()
             for n, (guard, workers, cold) in enumerate(dispatchers):
+                # Completed attempts of the dispatcher in this step of 50 ms, rounded up or down at random.
                 due = weights[n] / sum(weights) * per_s * 0.05
                 for _ in range(int(due) + (rng.random() < due % 1)):
                     guard.completed(now, rng.choice(workers))
@@ -105,15 +106,15 @@
         started += len(start_times)
         for at in start_times:
             count = sum(at - window_ms < other <= at for other in start_times)
-            share = (
+            mean_capacity = (
                 initial_capacity
                 + (1 - initial_capacity) * ((at + max(start, at - window_ms)) / 2 - start) / slow_start_ms
-            )  # mean capacity over the window
-            budget = overload_multiple * share * per_s / warm_count * window_ms / 1000
+            )
+            budget = overload_multiple * mean_capacity * per_s / warm_count * window_ms / 1000
             exceeded += count > budget + 2 * budget**0.5 + 2
             window_count += 1
     assert not exceeded, f"{exceeded} of {window_count} windows"
-    # Each run ends 8 s after the start of the worker.
+    # Each run ends 8 s after the start of the worker.  At least 15% of the budget at the initial capacity is used.
     assert (
         started
         > (6 if dispatcher_count < 100 else 2) * 0.15 * overload_multiple * initial_capacity * per_s / warm_count * 8
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Clusters of real processes on loopback: the demo, fault scenarios, a killed dispatcher, malformed settings."""
+"""Real processes on loopback: demo, fault scenarios, a killed dispatcher, bad settings, a port in use; and captures."""
 
 from __future__ import annotations
 
@@ -250,7 +250,7 @@
                     "handle": f"r{n}",
                     "class": 0,
                     "project": 0,
-                    "fn": f"f{n % 7 % 5}",
+                    "fn": f"f{n % 7 % 5}",  # of each seven requests, f0 and f1 get two, and f2 to f4 one
                     "grace_us": 5000000,
                     "memory_mb": 300,
                     "parallel": 2,
@@ -286,6 +286,7 @@
     found = {(s.kind, round(s.at)): s for s in fault_intervals(read_capture(tmp_path / "day.tap"))}
     assert set(found) == {("hang", 5), ("kill-dispatchers", 10), ("fail-fast", 12)}
     assert abs(found["kill-dispatchers", 10].duration - 3) < 0.2 and found["hang", 5].duration == 4
+    # With half the captured rate (30 per second), 4 workers and 2 dispatchers.
     deployment, script = import_capture(tmp_path / "day.tap", "day", 0.5, 4, 2)
     assert len(parse(deployment, "day").actions) == 5 and parse(deployment, "day").rules.free_loads == 6
     assert "(rate 15.0)" in script and "(trouble hang" in script
@@ -332,7 +333,7 @@
         while not (tmp_path / "book.sqlite").exists():  # created just before the dispatcher listens
             assert process.poll() is None
             time.sleep(0.02)
-        time.sleep(0.7)
+        time.sleep(0.7)  # the dispatcher tries to listen several times while the address is in use
     try:
         deadline = time.monotonic() + 8.0
         while True:
