--- a/kelptrail/history_checker/lease_rules.py
+++ b/kelptrail/history_checker/lease_rules.py
@@ -14,14 +14,15 @@
 from .outages import Period
 from .result import Breach, CheckResult
 
-# A lease that was computed while a clock ran at a wrong rate may outlast that period by this time.
+# A lease whose end was computed while a clock ran at a wrong rate may still be held for this long after that period.
 CLOCK_RECOVERY_MS = 10_000.0
-NO_TOKEN: list[Any] = [0, ""]
+NO_TOKEN: list[Any] = [0, ""]  # older than every token
 
 
 def check_leases(history: History, result: CheckResult) -> None:
     """Check all uses of all leases."""
     wrong_clocks = _wrong_clock_periods(history)
+    # By task; the beginning and the end of a use are two events.
     uses, accepted_uses = defaultdict[str, list[Event]](list), defaultdict[str, list[Event]](list)
     for event in sorted(history.events_of("act", "done"), key=lambda e: e["t"]):
         uses[event["task"]].append(event)
@@ -47,7 +48,10 @@
 
 
 def _check_single_holder(task: str, uses: list[Event], wrong_clocks: list[Period], result: CheckResult) -> None:
-    """Check that tokens never get older in the order in which their holders checked their leases."""
+    """Check that tokens never get older in the order in which their holders checked their leases.
+
+    A second holder during or shortly after a period of `wrong_clocks` is counted, but is no breach.
+    """
     newest = NO_TOKEN
     for event in sorted(uses, key=lambda e: e["looked"]):
         if event["token"] >= newest:
--- a/kelptrail/load/plan.py
+++ b/kelptrail/load/plan.py
@@ -28,12 +28,12 @@
         """Loads that run concurrently."""
 
 
-# Names of fields whose keys in scenario files differ.
-RENAMED_KEYS = {"for": "duration", "heed": "retry_after_share", "half_heed": "half_retry_after_share"}
+# Names of fields of `Load` by their keys in scenario files, with "_" for "-", where the two differ.
+FIELD_OF_KEY = {"for": "duration", "heed": "retry_after_share", "half_heed": "half_retry_after_share"}
 
 
 def _build_load(**settings: Any) -> Load:
-    fields = {RENAMED_KEYS.get(key, key): value for key, value in settings.items()}
+    fields = {FIELD_OF_KEY.get(key, key): value for key, value in settings.items()}
     return Load(**(fields | {"one_off": fields["one_off"] == "yes"}))
 
 
--- a/kelptrail/peers/driver.py
+++ b/kelptrail/peers/driver.py
@@ -1,8 +1,8 @@
 """Connections to peers on the event loop: accepts and opens connections, sends and receives messages.
 
-If two peers need a connection to each other, the one whose name sorts first connects, so that there is only one.  A
-connection that breaks, is silent or violates the protocol is closed and opened again with exponential backoff,
-independently of all others.
+If two peers need a connection to each other, the one whose name sorts first connects first, so that there is normally
+only one.  A connection that breaks, is silent or violates the protocol is closed and opened again with exponential
+backoff, independently of all others.
 """
 
 from __future__ import annotations
@@ -49,12 +49,13 @@
         self._writing: set[PeerConnection] = set()  # connections whose remaining output a task is sending
         self._connectors: dict[str, asyncio.Task[None]] = {}  # by peer: task that keeps the connection
         self._tasks: set[asyncio.Task[None]] = set()
+        # The callback that rejects connections is never called, as the listener has no pace.
         self._listener = Listener(
             self._loop, self._on_accept, lambda sock, peer, retry_after_ms: sock.close(), log.warning
         )
         self._heartbeat_task: asyncio.Task[None] | None = None
         self.address = ""
-        self.connections_lost = 0  # attempts of this process to connect that failed or whose connection ended
+        self.connections_lost = 0  # connections of this process to peers that could not be opened or have ended
 
     def register(self, capability: str, handler: Handler, *message_types: type[msgspec.Struct]) -> None:
         """Call `handler` with the sender's name and the message for each received message of these types.
@@ -182,6 +183,10 @@
             await asyncio.sleep(backoff_ms / 1000)
 
     async def _run_connection(self, sock: socket.socket, expected_name: str = "") -> None:
+        """Receive messages until the peer closes the connection.  Raises `OSError` and `ChannelError`.
+
+        `expected_name` is "" for a connection that the peer has opened.
+        """
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         capabilities = tuple(sorted(set(self._capabilities.values())))
         connection = PeerConnection(
@@ -223,7 +228,7 @@
             for connection, sock in list(self._connections.items()):
                 if connection.tick(now):
                     self._write(connection)
-                else:  # the task that reads from the socket then ends and closes it
+                else:  # silent for too long; the task that reads from the socket then ends and closes it
                     with contextlib.suppress(OSError):
                         sock.shutdown(socket.SHUT_RDWR)
 
--- a/kelptrail/simulation/clients.py
+++ b/kelptrail/simulation/clients.py
@@ -40,7 +40,7 @@
 class ClientCall:
     """A call of a client, and the state of its current attempt.  Times are in ms of simulated time."""
 
-    ticket: str  # id of the call, which is also its idempotency key
+    ticket: str  # id of the call, and its idempotency key if its effect is deduplicated
     action: ActionSettings
     namespace: NamespaceSettings
     deferred: bool
@@ -48,7 +48,7 @@
     attempts_left: int
     dispatcher: int = 0  # index in the shard's dispatchers
     sent_at: float = 0.0
-    activation: str = ""
+    activation: str = ""  # activation id, once the call was acknowledged
     call_id: str = ""  # id of the current attempt, captured as "call"
     first_sent_at: float = 0.0
     timeout_timer: Timer | None = None
@@ -161,8 +161,8 @@
     def _join_activation(self, dispatcher: SimulatedDispatcher, call: ClientCall, record: Record) -> None:
         """Join a call to the activation with its idempotency key.
 
-        A final answer is sent at once.  Without one, a deferred call is acknowledged, and any other call waits for the
-        end of the activation; it is acknowledged, too, if the activation is not in flight.
+        A final answer that may be shown is sent at once.  Otherwise a deferred call is acknowledged, and so is any call
+        whose activation is not in flight; all other calls wait for the end of the activation.
         """
         invocation = dispatcher.gateway.in_flight_of(record.id)
         if record.visible:
@@ -176,8 +176,9 @@
     def _on_durability_known(
         self, dispatcher: SimulatedDispatcher, call: ClientCall, invocation: Invocation, durable: bool | None
     ) -> None:
+        """Acknowledge a deferred call if its record is durable; if not, or if that is unknown, it is not accepted."""
         if durable:
-            invocation.waiters.clear()
+            invocation.waiters.clear()  # the client polls for the answer instead
             self._on_accepted(call, invocation.record.id)
         else:
             dispatcher.gateway.on_client_gone(self._event_queue.now, invocation)
--- a/kelptrail/simulation/dispatchers.py
+++ b/kelptrail/simulation/dispatchers.py
@@ -56,7 +56,10 @@
         self.edge = SimulatedEdge(cluster, self) if cluster.scenario.planners else None
 
     def start_process(self) -> None:
-        """Start the process; only the last endpoint list and the journal remain from an earlier one."""
+        """Start the process; only the last endpoint list, the journal and the edge remain from an earlier one.
+
+        The caller restarts the edge.
+        """
         self.start_number += 1
         self.boot = (
             f"{zlib.crc32(f'{self.name}/{self.start_number}'.encode()):08x}{self.number:04x}{self.start_number:04x}"
--- a/kelptrail/simulation/experiment_plots.py
+++ b/kelptrail/simulation/experiment_plots.py
@@ -58,7 +58,7 @@
 
 
 def draw_latency(folder: Path, spread: list[dict[str, Any]], variants: list[str], points: list[str]) -> None:
-    """Plot the latency distribution by type, at the first point."""
+    """Plot the latency distribution of each variant and type, at the first point."""
     figure, axis = pyplot.subplots(figsize=(8, 4))
     rows = [row for row in spread if row["what"] == "latency_ms" and row["point"] == points[0]]
     types = dict.fromkeys(row["name"] for row in spread if row["what"] == "latency_ms")
@@ -87,7 +87,7 @@
 
 
 def draw_give_ups(folder: Path, spread: list[dict[str, Any]], variants: list[str], points: list[str]) -> None:
-    """Plot the mean number of unsuccessful attempts of calls per run, by cause."""
+    """Plot the mean number of attempts per run that were rejected, aborted or not answered, by cause."""
     rows = [row for row in spread if row["what"] == "give_ups"]
     causes = list(dict.fromkeys(row["name"] for row in rows))
     figure, axis = pyplot.subplots(figsize=(8, 4))
@@ -111,15 +111,15 @@
 
 
 def draw_work(folder: Path, seconds: list[dict[str, Any]], variants: list[str], points: list[str]) -> None:
-    """Plot loads, orders, calls in flight and dispatchers under overload control over time, at the first point."""
-    names = {"loads": "loads / s", "orders": "orders / s", "in_hand": "calls in hand", "storming": "not calm"}
-    figure, axes = pyplot.subplots(len(names), 1, figsize=(10, 7), sharex=True)
-    for axis, (name, label) in zip(axes, names.items(), strict=True):
+    """Plot loads, load orders, calls in flight and dispatchers under overload control over time, at the first point."""
+    labels = {"loads": "loads / s", "orders": "orders / s", "in_hand": "calls in hand", "storming": "not calm"}
+    figure, axes = pyplot.subplots(len(labels), 1, figsize=(10, 7), sharex=True)
+    for axis, (column, label) in zip(axes, labels.items(), strict=True):
         for variant in variants:
             values: dict[int, list[float]] = defaultdict(list)  # by second
             for row in seconds:
                 if row["variant"] == variant and row["point"] == points[0]:
-                    values[row["second"]].append(row[name])
+                    values[row["second"]].append(row[column])
             _plot_means(axis, values, variant)
         axis.set_ylabel(label, fontsize=8)
     axes[0].set_title(points[0] or "as scripted", fontsize=9)
--- a/kelptrail/store/activation_journal.py
+++ b/kelptrail/store/activation_journal.py
@@ -1,7 +1,8 @@
 """The activation journal on disk: entries in an SQLite database in WAL mode, each commit synced before it returns.
 
-SQLite drops an incomplete end of the log at the next start.  Each row has its own checksum, because SQLite's pages have
-none.  A damaged database is renamed, never overwritten.  Only one thread at a time may use a journal.
+SQLite drops an incomplete end of its write-ahead log at the next start.  Each row has its own checksum, because
+SQLite's pages have none.  A damaged database is renamed, never overwritten.  Only one thread at a time may use a
+journal.
 """
 
 from __future__ import annotations
@@ -54,7 +55,10 @@
             self._create_or_migrate(self._database.format_version(FORMAT))
 
     def _transaction(self) -> contextlib.AbstractContextManager[None]:
-        """Commit all statements of the block, or none of them, even after a crash."""
+        """Commit all statements of the block, or none.
+
+        A commit that fails is cut off the write-ahead log, from which a start after a crash would restore it.
+        """
         return self._database.transaction(after_rollback=partial(drop_uncommitted, self.file))
 
     def _create_or_migrate(self, version: int) -> None:
@@ -68,7 +72,7 @@
                 self._database.run("ALTER TABLE rows RENAME TO entries")
                 self._database.run(INDEX)
                 self._database.set_format_version(FORMAT)
-        elif version < FORMAT:
+        elif version < FORMAT:  # format 2 has the same tables; its entries lack only a field with a default
             self._database.set_format_version(FORMAT)
 
     def clear_orphans(self) -> None:
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -56,7 +56,7 @@
         due_job = scheduler.next_job(now, busy)
         if due_job is None:
             wait_ms = scheduler.wait_ms(now, busy)
-            assert wait_ms > 0, "without a job to run the wait is not 0, which would be a busy loop"
+            assert wait_ms > 0, "a wait of 0 without a job to run would be a busy loop"
             now += min(wait_ms, 50.0)
             continue
         started_at[due_job] = now
@@ -116,6 +116,7 @@
             status["broken"]["failures"] >= 3
             and ("background-failed", {"job": "broken", "reason": "RuntimeError: no"}) in log.lines
         )
+        # The limit is the share of 800 ms, the initial budget of 50 ms, and 40 ms of tolerance.
         assert executed.count("slow") >= 3 and status["slow"]["cpu_ms"] <= 0.3 * 800 + 50 + 40
         assert executed.count("late") <= 1 and sorted(turn_gaps_ms)[len(turn_gaps_ms) // 2] < 8, (
             "most gaps between turns of the event loop are short"
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -102,7 +102,9 @@
             acknowledged + len(model.acknowledged),
             disks_lost + bool(model.all_disks_lost),
         )
-    assert takeovers > 200 and acknowledged > 1000 and disks_lost < 20, "enough faults and calls occurred"
+    assert takeovers > 200 and acknowledged > 1000 and disks_lost < 20, (
+        "enough take-overs and calls occurred, and few runs lost all disks"
+    )
 
 
 def test_replica_that_lost_acknowledged_entries_is_repaired() -> None:
@@ -120,6 +122,9 @@
     assert repaired > 5
 
 
+# Faulty implementations, which the model must detect.  The name of each class states its fault.
+
+
 class CommitsOnLocalDisk(Primary):
     def _commit(self) -> None:
         for stream in self.streams.values():
@@ -276,6 +281,7 @@
         "the replica is dropped, but the new in-sync set is not stored yet"
     )
     primary.on_in_sync_stored(1601.0)
+    # False: the batch is committed, but the journal is under-replicated.
     assert (
         results == [False] and not primary.accepts_requests() and primary_status(1701.0, primary)["at_risk_ms"] == 100
     )
@@ -398,6 +404,7 @@
 
 
 def replica_entries(*entries: Any) -> tuple[ReplicaEntry, ...]:
+    """Return entries as a primary sends them: an accepted entry at an age of 250 ms, and others at an age of 0."""
     kinds = {Accepted: 0, MayRun: 1, Ended: 2}
     return tuple(
         ReplicaEntry(
@@ -462,6 +469,7 @@
     store.commit([ReplicaWrite("b", replica_entries(CALL, MayRun("c1", 1.0, "w")), fence=Fence(FIRST_TOKEN, "a"))])
     connection = apsw.Connection(str(file))
     list(connection.execute("UPDATE entries SET body = CAST(replace(body, 'w', 'v') AS BLOB) WHERE kind = 1"))
+    # All buckets, but not as `ALL_BUCKETS`: the digests are computed from the rows on disk.
     digest_check = ReplicaWrite("b", digest_range=BucketRange(0, 256))
     store.commit([digest_check])
     assert digest_check.digests != pack_digests(store.digests["b"])
@@ -552,7 +560,7 @@
 
 
 def test_lookup_is_negative_only_after_replies_of_all_dispatchers_and_all_primaries() -> None:
-    results: list[Any] = []
+    results: list[Any] = []  # an address, "" if the target may exist, None if it does not exist
     lookups = LookupService("me/1", 300.0)
     lookups.start(0.0, "x", ["a", "b"], ["me/1"], False, results.append)
     assert lookups.join("x", results.append) and not lookups.join("y", results.append)
@@ -682,7 +690,7 @@
                 while not (await http_json(dispatcher.ready_info["asked_at"], "GET", "/copies"))["promising"]:
                     await asyncio.sleep(0.1)
             first, *others = cluster.dispatchers
-            key = {
+            credentials = {
                 "authorization": authorization("23bc46b1-71f6-4ed5-8c54-816aa4f8c502", "try-this-key-on-loopback-only")[
                     "authorization"
                 ]
@@ -690,7 +698,7 @@
             ids = []
             for _ in range(6):
                 status, _, body = await request_json(
-                    first.ready_info["address"], "POST", "actions/grant?blocking=false", key, b"{}"
+                    first.ready_info["address"], "POST", "actions/grant?blocking=false", credentials, b"{}"
                 )
                 assert status == 202
                 ids.append(body["activationId"])
@@ -709,18 +717,18 @@
                 )
                 assert await process.wait() == code, f"{name}: only the dispatcher at this address can be retired"
             status, _, _ = await request_json(
-                first.ready_info["address"], "POST", "actions/grant?blocking=false", key, b"{}"
+                first.ready_info["address"], "POST", "actions/grant?blocking=false", credentials, b"{}"
             )
             assert status == 503, "no new call is accepted there"
             await cluster.terminate(first)
             cluster.lose_disk(first)
             for id_ in ids:
                 status, headers, body = await request_json(
-                    others[0].ready_info["address"], "GET", f"activations/{id_}", key
+                    others[0].ready_info["address"], "GET", f"activations/{id_}", credentials
                 )
                 if status == 307:
                     at = headers["location"].removeprefix("http://").partition("/")[0]
-                    status, _, body = await request_json(at, "GET", f"activations/{id_}", key)
+                    status, _, body = await request_json(at, "GET", f"activations/{id_}", credentials)
                 assert status == 200 and final_answer(body)["answer"] == "completed"
         finally:
             await cluster.stop()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -125,7 +125,7 @@
     journal._database.run("UPDATE entries SET body = zeroblob(length(body)) WHERE kind = 2")
     (activation,) = journal.activations()
     assert journal.damaged == 1 and activation.ended is None and activation.may_run is not None, (
-        "the reader cannot tell that the damaged entry was not the may-run entry"
+        "the damaged entry may have been the may-run entry"
     )
 
 
@@ -239,8 +239,8 @@
 # Recovery.
 
 
-# By the idempotency as the settings name it ("zone": deduplicated within the zone only); the numbers are the
-# deduplication window in ms and the priority weight.
+# By the name of the idempotency in the settings; "zone" stands for deduplication within the zone only.  The numbers are
+# the deduplication window in ms and the priority weight.
 RULES = {
     "repeatable": RecoveryRule(Idempotency.IDEMPOTENT, "all", 0, 2),
     "deduplicated": RecoveryRule(Idempotency.DEDUPLICATED, "all", 2000, 5),
@@ -592,8 +592,8 @@
     cases = [json.loads(line) for line in process.stdout.splitlines()]
     assert process.returncode == 0, process.stdout + process.stderr[-1500:]
     assert len(cases) == 10 and not any(case["broken"] for case in cases)
-    # A deferred call may be lost before its 202 was sent: then it was not acknowledged, and no client polls it.
-    # `effect` holds the idempotency.
+    # A case has no answer if a deferred call was lost before its 202 was sent: it was not acknowledged, and no client
+    # polls it.  `effect` holds the idempotency.
     assert {
         case["answer"]
         for case in cases
@@ -610,6 +610,7 @@
         for id_ in ids:
             driver.forget(id_)
         assert not driver._busy, "no activation is deleted before background work runs"
+        # The first call starts to delete a batch, and the second one finds the thread busy.
         assert driver.compact() and driver.compact(), "a full batch remains"
         driver.group_commit.write(Accepted("f" * 32, "one", "grant", 100.0, 900.0, b"{}"), results.append)
         while not results:
