--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -128,7 +128,7 @@
 class CommitsOnLocalDisk(Primary):
     def _commit(self) -> None:
         for stream in self.streams.values():
-            stream.acked_batch = 10**9
+            stream.acked_batch = 10**9  # later than any batch of a walk
         super()._commit()
 
 
@@ -281,7 +281,7 @@
         "the replica is dropped, but the new in-sync set is not stored yet"
     )
     primary.on_in_sync_stored(1601.0)
-    # False: the batch is committed, but the journal is under-replicated.
+    # False: the batch is committed, but the journal is under-replicated, since 1601 ms.
     assert (
         results == [False] and not primary.accepts_requests() and primary_status(1701.0, primary)["at_risk_ms"] == 100
     )
@@ -335,6 +335,7 @@
     primary.on_local_write(primary.local_writes.popleft(), True)
     stream = primary.streams["h"]
     parts = [unacked.append for unacked in stream.unacked]
+    # A part is limited to half of the window, 500 bytes, so that it holds one entry of 300 bytes.
     assert [len(part.entries) for part in parts] == [1, 1, 1, 1, 1] and [part.deleted_ids for part in parts][3:] == [
         (),
         ("old",),
