--- a/kelptrail/membership/members.py
+++ b/kelptrail/membership/members.py
@@ -25,7 +25,7 @@
     address: str
     state: str = "live"
     incarnation: str = ""
-    age_ms: float = 1e12
+    age_ms: float = 1e12  # the default means a start long ago, so that slow start is over
     zone: str = msgspec.field(default="", name="hall")  # `hall` in the encoded list
     cell: int = 0
     kind: int = 0  # copied to `Worker.kind`; dispatch decisions do not use it
--- a/kelptrail/planner/plan_follower.py
+++ b/kelptrail/planner/plan_follower.py
@@ -2,7 +2,7 @@
 
 A plan is refused if it is not later than the last accepted one, is of another lineage, has expired, does not match its
 digest, is a difference from a plan that the edge does not have, or uses a worker that is not live in the edge's own
-endpoint list.  If only workers are missing, a plan made from a later list of the same source run waits for that list.
+endpoint list.  If that is the only fault, a plan made from a later list of the same source run waits for that list.
 
 Epochs are fenced: once a plan of a later epoch has been accepted, plans of earlier epochs are refused, even after a
 restart, because the last plan is stored on disk.  Without a plan, or with an expired one, an edge decides as it does
@@ -157,5 +157,5 @@
 
 
 def _is_later(version: EndpointsVersion, other: EndpointsVersion) -> bool:
-    """Return whether a version of the endpoint list is later than another one of the same lineage."""
+    """Return whether a version of the endpoint list is later than another one; False if their lineages differ."""
     return version[0] == other[0] and version[1] > other[1]
--- a/kelptrail/replication/messages.py
+++ b/kelptrail/replication/messages.py
@@ -140,7 +140,7 @@
 
 
 class DrainNotice(msgspec.Struct, frozen=True, tag="copies-leaving", array_like=True):
-    """Announces that the sender is draining.  Primaries replace it before they remove it from the in-sync set."""
+    """Announces that the sender drains.  Primaries replace the sender before they remove it from the in-sync set."""
 
 
 class Lookup(msgspec.Struct, frozen=True, tag="find", array_like=True):
@@ -255,7 +255,7 @@
     replica_count: int = 0  # replicas of each journal besides the primary
     allow_under_replicated: bool = False  # whether deferred calls are accepted even with too few in-sync replicas
     retry_ms: float = 300.0  # time after which an unacknowledged message is sent again
-    replica_timeout_ms: float = 1500.0  # time without a message or acknowledgement after which a replica is dropped
+    replica_timeout_ms: float = 1500.0  # time that a replica may owe a reply or be unreachable until it is dropped
     reconnect_pause_ms: float = 3000.0  # pause before a stream to a dropped replica is opened again
     max_uncommitted_bytes: int = 64 << 20  # size of uncommitted entries from which new calls are rejected
     window_bytes: int = 256 << 10  # limit on sent and unacknowledged data per replica
--- a/kelptrail/settings/lease_checks.py
+++ b/kelptrail/settings/lease_checks.py
@@ -8,7 +8,7 @@
 from .shape import Checker, default_of
 
 ACCEPTOR_COUNTS = (3, 5)
-_MIN_REQUESTS_PER_LEASE = 4
+_MIN_TIMEOUTS_PER_LEASE = 4  # minimum usable part of a lease, in request timeouts (`ask-ms`)
 
 
 def check_leases(checker: Checker, form: Form, peers: Form | None) -> None:
@@ -56,6 +56,7 @@
 
 
 def _check_config_number(checker: Checker, form: Form, previous: list[str]) -> None:
+    """Check that the version of the acceptor set is above 1 if a previous set is given, and 1 otherwise."""
     given, number = setting(form, "number"), _number(form, "number")
     position = given.position if given else form.position
     if previous and number < 2:
@@ -65,6 +66,7 @@
 
 
 def _check_max_length(checker: Checker, form: Form) -> None:
+    """Check that the acceptors grant leases of the length that dispatchers request."""
     max_ms, length_ms = _number(form, "longest-ms"), _number(form, "length-ms")
     if max_ms < length_ms:
         given: Setting | None = setting(form, "longest-ms") or setting(form, "length-ms")
@@ -75,7 +77,7 @@
 def _check_length(checker: Checker, form: Form) -> None:
     """Check that the usable part of a lease, which the clock rate bound shortens, is long enough to renew the lease."""
     length_ms, bound = _number(form, "length-ms"), _number(form, "clock-bound")
-    usable_ms, min_ms = length_ms * (1 - bound) / (1 + bound), _MIN_REQUESTS_PER_LEASE * _number(form, "ask-ms")
+    usable_ms, min_ms = length_ms * (1 - bound) / (1 + bound), _MIN_TIMEOUTS_PER_LEASE * _number(form, "ask-ms")
     if usable_ms < min_ms:
         given = setting(form, "length-ms")
         checker.fault(
--- a/kelptrail/simulation/shard.py
+++ b/kelptrail/simulation/shard.py
@@ -12,9 +12,9 @@
 class MessageKind(StrEnum):
     """Kind of a message between shards."""
 
-    REPLY = "reply"
-    EFFECT = "mark"
-    FETCH = "fetch"
+    REPLY = "reply"  # to a message of one of the last three kinds
+    EFFECT = "mark"  # entry for the receiver's log of effects, see `SharedEffectLog`
+    FETCH = "fetch"  # request to the model store, which is in the first shard
     ATTEMPT = "send"
     LOAD_ORDER = "order"
 
@@ -57,7 +57,7 @@
     def request(
         self, when: float, target: int, kind: MessageKind, on_reply: Callable[..., None], *arguments: Any
     ) -> None:
-        """Send a request that arrives at another shard at time `when` in ms; its first reply calls `on_reply`."""
+        """Send a request that arrives at another shard at time `when` in ms; `on_reply` gets its first reply."""
         self._last_request += 1
         self._replies[self._last_request] = on_reply
         self.post(when, target, kind, self.number, self._last_request, *arguments)
--- a/kelptrail/store/recovery.py
+++ b/kelptrail/store/recovery.py
@@ -91,7 +91,7 @@
 
 
 def _with_earlier_origin(resume: ResumeRequest, ms: float) -> ResumeRequest:
-    """Return the request with its remaining times converted to count from a time `ms` earlier."""
+    """Return the request with its remaining times counted from `ms` before now instead of from now."""
     window = resume.deduplicated_for_ms
     return replace(
         resume,
@@ -116,7 +116,7 @@
     def next(self, since_ms: float) -> ResumeRequest | EndRequest | None:
         """Return the next request to resume, or to end if its time ran out in the queue; None if there is none now.
 
-        `since_ms` is the time since `decide_recovery` was called for the first requests.
+        `since_ms` is the time since the queue was created, from which the remaining times of its requests count.
         """
         if not self._waiting:
             return None
@@ -132,7 +132,7 @@
         return first
 
     def add(self, resumable: list[ResumeRequest], since_ms: float) -> None:
-        """Add requests, `since_ms` after `decide_recovery` was called for the first ones."""
+        """Add requests whose remaining times count from now, `since_ms` after the queue was created."""
         added = [_with_earlier_origin(resume, since_ms) for resume in resumable]
         self._waiting = deque(sorted([*self._waiting, *added], key=lambda resume: -resume.priority))
 
--- a/tests/test_dispatch_readiness.py
+++ b/tests/test_dispatch_readiness.py
@@ -1,4 +1,4 @@
-"""Tests of worker readiness while the endpoint list is unreachable, and of readiness questions."""
+"""Tests of readiness while the endpoint list is unreachable, readiness questions, worker delays and load reports."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 # BROKEN_NOTIFICATION_MS after the connection to it broke.  New work may start for GRACE_MS after that.
 NOTIFICATION_MS, BROKEN_NOTIFICATION_MS, GRACE_MS = 4000.0, 2000.0, 500.0
 ALL_PROBES = (ProbeKind.HEALTH_CHECK, ProbeKind.LOAD_QUERY)
-STALE_AT = NOTIFICATION_MS + GRACE_MS
+STALE_AT = NOTIFICATION_MS + GRACE_MS  # latest time at which a list confirmed at time 0 expires
 IGNORING_COUNT = 4  # workers that do not answer health checks, of the eight in the test that uses it
 UP, DOWN, NO_ANSWER = AttemptStatus.COMPLETED, AttemptStatus.OUT_OF_CAPACITY, AttemptStatus.SILENT
 
@@ -195,7 +195,7 @@
 
 
 def ignore_health_checks(dispatcher: Dispatcher) -> list[ReadinessQuestion]:
-    """Let all workers answer their load queries and no health check; return their questions."""
+    """Let every worker answer its load query and ignore its health check; return all questions sent."""
     questions = []
     for n in range(len(dispatcher.workers)):
         new_questions = [
--- a/tests/test_dispatch_rules.py
+++ b/tests/test_dispatch_rules.py
@@ -1,4 +1,7 @@
-"""Tests of the five rules, checked for every decision of seeded random schedules, also with a guard removed."""
+"""Tests of the five rules of `docs/design.md`, checked for every decision of seeded random schedules.
+
+Further runs, with one guard removed, test that the checks detect this.
+"""
 
 from __future__ import annotations
 
@@ -110,13 +113,15 @@
                 other.started_at > max(window_start, self.restart_known_at[worker]) and other.instance.worker is worker
                 for other in self.attempts
             )
-            warm_ms, initial_capacity = self.settings["slow_start_ms"], self.settings["initial_capacity"]
-            others = [
-                w for w in self.workers if w.state is WorkerState.LIVE and now - (w.started_at or -1e9) >= warm_ms
+            slow_start_ms, initial_capacity = self.settings["slow_start_ms"], self.settings["initial_capacity"]
+            warm_workers = [
+                w for w in self.workers if w.state is WorkerState.LIVE and now - (w.started_at or -1e9) >= slow_start_ms
             ]
-            warm = sum(other.started_at > window_start and other.instance.worker in others for other in self.attempts)
-            share = initial_capacity + (1 - initial_capacity) * (now - worker.started_at) / warm_ms
-            mean_attempts = warm / max(1, len(others))
+            warm_attempts = sum(
+                other.started_at > window_start and other.instance.worker in warm_workers for other in self.attempts
+            )
+            share = initial_capacity + (1 - initial_capacity) * (now - worker.started_at) / slow_start_ms
+            mean_attempts = warm_attempts / max(1, len(warm_workers))
             assert own_attempts <= max(1.0, self.settings["overload_multiple"] * share * mean_attempts), (
                 "slow start: not overloaded"
             )
@@ -131,7 +136,7 @@
         make_function(f"f{n}", rng.choice((1, 2, 4)), REQUEST_CLASSES[n % len(REQUEST_CLASSES)]) for n in range(8)
     ]
     now, serial, in_flight, orders, open_requests = 0.0, 0, [], [], []
-    for step in range(steps + 400):
+    for step in range(steps + 400):  # no requests arrive in the last 400 steps, so that all requests end
         due = dispatcher.timers.next_due()  # `decide` is called at most 4 ms after a due time
         step_ms = rng.choice((0.0, 1.0, 4.0, 15.0)) if step < steps else 50.0
         now = min(now + step_ms, max(now, due or now) + 4)
@@ -147,6 +152,7 @@
                 [AttemptStatus.COMPLETED] * 6 + [AttemptStatus.OUT_OF_CAPACITY, AttemptStatus.CONNECTION_LOST]
             )
             dispatcher.on_load_report(now, order, status, rng.randrange(order.count + 2))
+        # The attempts at one worker, which the seed selects, are never reported as finished.
         for attempt in [
             other for other in in_flight if other.instance.worker is not workers[seed % 6] and rng.random() < 0.1
         ]:
@@ -160,10 +166,10 @@
             ):
                 checker.on_final_answer(now, attempt.request)
                 dispatcher.on_attempt_finished(now, attempt, AttemptResult(status, True))
-            else:
-                ended = attempt.request in checker.finished
+            else:  # a completion after the request's end or deadline is reported as no answer
+                request_done = attempt.request in checker.finished
                 status = AttemptStatus.SILENT if status is AttemptStatus.COMPLETED else status
-                dispatcher.on_attempt_finished(now, attempt, AttemptResult(status, ended))
+                dispatcher.on_attempt_finished(now, attempt, AttemptResult(status, request_done))
         for request in [a for a in open_requests if a.final_status is None and rng.random() < 0.0005]:
             checker.on_final_answer(now, request)
             dispatcher.on_client_gone(request)
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -1,4 +1,4 @@
-"""Edge and planner on sockets: accepted, expired, invalid and saved plans; a fault scenario with real processes."""
+"""Edge and planners on sockets: accepted, expired, invalid and saved plans; take-over; a scenario of real processes."""
 
 from __future__ import annotations
 
